--- a/src/proxy/IBorrowerIo.h
+++ b/src/proxy/IBorrowerIo.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a VM that lends its connections to instances tells the VMs that
-/// borrow them.
+/// \file The replies and reports that a VM which lends its connections to
+/// instances sends to the VMs that borrow them.
 
 #ifndef STEPLEDGE_PROXY_IBORROWERIO_H
 #define STEPLEDGE_PROXY_IBORROWERIO_H
@@ -19,39 +19,42 @@
 
 namespace stepledge::proxy {
 
-/// One statement or transaction of another VM that needs a connection here.
+/// Identifies a borrow: one statement or transaction of another VM that needs a
+/// connection of this VM.
 struct BorrowKey {
-  /// The VM that borrows.
+  /// The address of the borrowing VM.
   std::string Ip;
-  /// Its own number for the use.
+  /// The borrow number that the borrower has assigned.
   std::uint64_t Use = 0;
   auto operator<=>(const BorrowKey &) const = default;
 };
 
-/// Commands that a borrower sends, and what they need.
+/// Commands that a borrower sends, and what they need to run.
 struct BorrowRequest {
   std::string Service;
   InstanceId Instance;
-  /// Whose connection it has to be; any will do for the proxy's own questions.
+  /// The organisation whose connection is needed; none for the borrower's own
+  /// probes, which may use any.
   std::optional<OrganisationId> Organisation;
   std::vector<InstanceCommand> Commands;
   BorrowNeeds Needs;
-  /// The use begins with these commands.
+  /// The borrow begins with these commands.
   bool IsFirst = false;
 };
 
-/// Why a use is over although its borrower hasn't ended it.
+/// Why a lender ends a borrow, or reports trouble with it, before the borrower
+/// has ended it.
 enum class LendingEnd {
   /// The connection broke; what was sent may have run.
   Lost,
-  /// Nothing was sent: this VM doesn't reach the instance.
+  /// Nothing was sent: this VM can't reach the instance.
   Unreachable,
   /// Nothing was sent: all connections that may be lent are in use.
   Full,
   /// Nothing was sent: this VM is about to stop.
   Stopping,
-  /// The use goes on, but the instance has fallen silent: what was sent may
-  /// have run, and its answer may never come.
+  /// The borrow continues, but the instance has stopped answering: what was
+  /// sent may have run, and its answer may never arrive.
   Silent,
 };
 
@@ -73,8 +76,8 @@
 
   virtual void answerBorrower(const BorrowKey &key,
                               const std::vector<StatementReply> &replies) = 0;
-  /// \p expectedWait is how long a use of that urgency would wait here; 0 if it
-  /// isn't known.
+  /// \p expectedWait is how long a borrow of that urgency would wait here; 0 if
+  /// unknown.
   virtual void endBorrower(const BorrowKey &key, LendingEnd reason,
                            Duration expectedWait) = 0;
 };
--- a/src/proxy/IProxyIo.h
+++ b/src/proxy/IProxyIo.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What the proxy's decisions ask of the sockets around them.
+/// \file The interfaces through which the proxy uses sockets and logs
+/// decisions.
 
 #ifndef STEPLEDGE_PROXY_IPROXYIO_H
 #define STEPLEDGE_PROXY_IPROXYIO_H
@@ -22,37 +23,38 @@
 using ClientId = NumberedId<struct ClientTag>;
 using SessionValues = std::map<std::string, std::string>;
 
-/// What the lender of a connection has to know beside the commands.
+/// What the lender of a connection needs beside the commands.
 struct BorrowNeeds {
-  /// Set before a client's statement.
+  /// The session values to set before a client's statement.
   SessionValues Values;
-  /// Its place among those that wait.
+  /// The statement's rank among those that wait.
   scheduling::WaitRank Rank;
-  /// The borrower has connections of its own to wait for, so the lender refuses
-  /// at once unless one of its connections is free.
+  /// The borrower has own connections to wait for, so the lender refuses at
+  /// once unless one of its connections is free.
   bool NeedsFreeNow = false;
 };
 
-/// Where a connection goes.
+/// The endpoint of a connection.
 struct ConnectionTarget {
   std::string Address;
   std::string Service;
   InstanceId Instance;
-  /// For whom; none for a borrowed one that carries the proxy's own questions.
+  /// The organisation whose statements it carries; none for a borrowed
+  /// connection that carries the proxy's own probes.
   std::optional<OrganisationId> Organisation;
-  /// The VM that lends a connection of its own for each use; empty for an own
+  /// The VM that lends one of its connections for each borrow; empty for an own
   /// connection.
   std::string LenderIp;
   bool isBorrowed() const { return !LenderIp.empty(); }
 };
 
-/// The sockets of clients and instances.
+/// The sockets to clients and instances.
 class ISocketIo {
 public:
   virtual ~ISocketIo() = default;
 
   virtual void acceptClient(ClientId client) = 0;
-  /// Tells the client why it is refused, and closes its connection.
+  /// Sends the client the reason of the refusal, and closes its connection.
   virtual void rejectClient(ClientId client, const StatementReply &reply) = 0;
   virtual void answerClient(ClientId client, const StatementReply &reply) = 0;
   virtual void closeClient(ClientId client) = 0;
@@ -65,13 +67,12 @@
   virtual void closeConnection(ConnectionId connection) = 0;
 };
 
-/// The same, and connections that other VMs lend: ConnectionTarget tells them
-/// apart.
+/// Adds the connections that other VMs lend; ConnectionTarget distinguishes
+/// them from own ones.
 class IProxyIo : public ISocketIo {
 public:
-  /// A connection that is borrowed from this VM carries commands at once, since
-  /// the VM itself is connected; otherwise connectionReady() tells when it
-  /// does.
+  /// Whether the VM at \p ip is connected, so that a connection borrowed from
+  /// it carries commands at once; otherwise it does so after connectionReady().
   virtual bool isLenderConnected(const std::string &ip) const = 0;
   /// Sends all of \p commands on a borrowed connection.
   virtual void sendBorrowed(ConnectionId connection,
@@ -82,7 +83,7 @@
 enum class LendingEnd;
 enum class SessionEnd;
 
-/// Told of each decision that changes a request's way or its result.
+/// Receives each decision that changes a request's route or its result.
 class IProxyLog {
 public:
   virtual ~IProxyLog() = default;
@@ -92,21 +93,21 @@
     (void)code;
     (void)took;
   }
-  /// A statement that was not run is on its way to another instance.
+  /// A statement that was not run is being sent to another instance.
   virtual void retried(ReplyCode code) { (void)code; }
-  /// A statement was refused as not run: at once for want of room, or after it
-  /// had waited for room, a primary or its quota.
+  /// A statement was refused as not run: at once for lack of capacity, or after
+  /// it had waited for capacity, a primary or its quota.
   virtual void refusedForRoom(bool isAtOnce) { (void)isAtOnce; }
-  /// A use of another VM was refused as not run.
+  /// A borrow of another VM was refused as not run.
   virtual void lendRefused(LendingEnd reason) { (void)reason; }
   /// This VM has ended a client's session.
   virtual void sessionEnded(SessionEnd reason) { (void)reason; }
-  /// A statement came after its session's end.
+  /// A statement arrived after its session's end.
   virtual void unanswered(const std::string &reason) { (void)reason; }
-  /// A client left before its statement was answered; \p wasSent: an instance
-  /// had it.
+  /// A client disconnected before its statement was answered; \p wasSent if the
+  /// statement had been sent to an instance.
   virtual void givenUp(bool wasSent) { (void)wasSent; }
-  /// A statement is beyond its organisation's quota.
+  /// A statement was refused because its organisation's quota is used up.
   virtual void refusedByQuota(int priority) { (void)priority; }
 };
 
--- a/src/proxy/Proxy.cpp
+++ b/src/proxy/Proxy.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-/// A statement's limit where the route names none.
+/// A statement's timeout where the route sets none.
 constexpr Duration DefaultStatementTimeout = milliseconds(1000);
 
 constexpr const char *UnknownKey = "no organisation has this key";
 
-/// Of the organisations that share what is contested; none where clients show
-/// no keys.
+/// The rates of the organisations, which set their shares under contention;
+/// empty where clients present no keys.
 std::map<OrganisationId, double>
 ratesOf(const control::Configuration &configuration) {
   std::map<OrganisationId, double> rates;
@@ -93,7 +93,7 @@
     Io.closeConnection(id);
     connectionLost(now, id);
   }
-  // NOTE: the losses are no sign that the new life is silent.
+  // NOTE: these lost connections don't mean that the new incarnation is silent.
   tracker(record.Service).forgetSilence(record.Id);
   Pool.refuseUntil(record.Id, {});
   BadLenders.erase(record.Id);
--- a/src/proxy/Proxy.h
+++ b/src/proxy/Proxy.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The decisions for connection sessions: which instance runs a client's
-/// statement, on which connection, and what the client is told.
+/// \file Statement routing for connection sessions: which instance runs a
+/// client's statement, on which connection, and which reply the client gets.
 
 #ifndef STEPLEDGE_PROXY_PROXY_H
 #define STEPLEDGE_PROXY_PROXY_H
@@ -33,17 +33,17 @@
 
 namespace stepledge::proxy {
 
-/// How one VM sees the primary of a service.
+/// The primary of a service as this VM observes it.
 struct PrimarySight {
   std::string Service;
   InstanceId Primary;
-  /// The life that is meant; as in membership::InstanceRecord.
+  /// The observed incarnation; as in membership::InstanceRecord.
   std::uint64_t BornMs = 0;
-  /// How long questions to it have stayed without an answer; 0 if none has.
+  /// How long requests to it have gone unanswered; 0 if none has.
   Duration SilentFor{};
 };
 
-/// The order in which waiting statements get a free connection.
+/// Sort key of a waiting statement: by priority, then by arrival.
 struct WaitKey {
   int Priority = 0;
   TimePoint ArrivedAt{};
@@ -53,8 +53,8 @@
 
 class Proxy : private ILendablePool {
 public:
-  /// Other VMs that borrow connections are answered by \p borrowers; how often
-  /// organisations may ask is \p quota's.
+  /// \p borrowers carries the replies to the VMs that borrow connections;
+  /// \p quota limits the organisations' operation rates.
   Proxy(ProxyOptions options, IProxyIo &io, IProxyLog &log,
         IBorrowerIo &borrowers, quota::IOperationQuota &quota);
 
@@ -62,34 +62,34 @@
   void applyInstance(TimePoint now, const membership::InstanceRecord &record);
   void applyPromotion(TimePoint now, const std::string &service,
                       const Promotion &promotion);
-  /// The VMs that share the instances' connections; each may pass bytes on to
-  /// an instance, or lend.
+  /// The VMs that share the instances' connections; each may forward bytes to
+  /// an instance or lend connections to it.
   void setEntries(std::vector<membership::EntryVm> entries);
-  /// Cut off from the others, it refuses at once what needs an instance that
-  /// it can't reach, and ends the client's session behind the refusal, so that
-  /// the client turns to another VM. All other sessions stay: a statement may
-  /// be on its way.
+  /// While isolated, this VM refuses at once each statement that needs an
+  /// unreachable instance, and ends the client's session after the refusal, so
+  /// that the client connects to another VM. Other sessions stay open, since a
+  /// statement may be in flight on them.
   void setIsolated(bool isIsolated) { IsIsolated = isIsolated; }
-  /// The VM stops: clients that come are refused, and each session ends behind
+  /// Starts the shutdown: new clients are refused, and each session ends after
   /// its next answer.
   void beginToClose() { IsClosing = true; }
-  /// No control VM with a majority behind it is heard.
+  /// Set while nothing is received from a control VM that has a majority.
   void setControlLost(bool isLost) { IsControlLost = isLost; }
-  /// Another VM that borrows connections of this one, or no longer does.
+  /// Serves the VMs that borrow connections from this one.
   Lender &lender() { return Lending; }
-  /// The VM that \p connection is borrowed from can't lend for now; it expects
-  /// such a use to wait for \p expectedWait, 0 if it doesn't say.
+  /// The lender of \p connection can't lend for now. It expects such a borrow
+  /// to wait for \p expectedWait; 0 if it reported none.
   void lenderRefused(TimePoint now, ConnectionId connection, LendingEnd reason,
                      Duration expectedWait = {});
 
-  /// The VM that \p connection is borrowed from hears nothing of the instance.
+  /// The lender of \p connection gets no answers from the instance.
   void lenderSilent(TimePoint now, ConnectionId connection);
 
   void clientConnected(TimePoint now, ClientId client,
                        const DatabaseId &database, const KeyDigest &key = {});
   void clientAsked(TimePoint now, ClientId client, ClientStatement statement);
   void clientLeft(TimePoint now, ClientId client);
-  /// The client's connection was closed for what the client did.
+  /// This VM closed the client's connection because of what the client did.
   void clientDropped(TimePoint now, ClientId client, SessionEnd reason);
 
   void connectionReady(TimePoint now, ConnectionId connection,
@@ -98,111 +98,119 @@
                           StatementReply reply);
   void connectionLost(TimePoint now, ConnectionId connection);
 
-  /// Timeouts, retries and probes; call it every few milliseconds.
+  /// Handles timeouts, retries and probes; call it every few milliseconds.
   void tick(TimePoint now);
-  /// What waits for the organisation's quota may go on, or is beyond it.
+  /// The quota changed: the organisation's statements that wait for it are sent
+  /// or refused.
   void quotaChanged(TimePoint now, const OrganisationId &organisation);
-  /// After the clock jumped, what was known is too old to rely on.
+  /// Discards the position proofs, which are too old to rely on after a clock
+  /// jump.
   void forgetProofs();
 
-  /// Ends the sessions that rest outside a transaction and have asked nothing
-  /// for \p atLeast. Each is told so: a statement on its way meets a refusal.
+  /// Ends the sessions that are outside a transaction and have been idle for
+  /// \p atLeast. Each client gets a refusal, since a statement may be in
+  /// flight.
   void closeIdleSessions(TimePoint now, Duration atLeast);
-  /// Rolls back the open transactions that no statement is running in.
+  /// Rolls back the open transactions in which no statement is running.
   void abortTransactions(TimePoint now);
   std::size_t sessionCount() const { return Sessions.size(); }
-  /// Organisations whose statements wait behind those of others that have had
-  /// less of an instance.
+  /// Number of organisations over their fair share of an instance, whose
+  /// statements wait behind those of others.
   std::size_t heldBackOrganisations(TimePoint now) const {
     return Line.heldBack(now);
   }
-  /// A client waits for an answer.
+  /// Whether any client waits for an answer.
   bool isBusy() const;
-  /// How many clients do.
+  /// Number of clients that wait for an answer.
   std::size_t waitingClients() const;
   bool isConfigured() const { return Configuration.Version > 0; }
   bool canServe() const;
   std::uint64_t configurationVersion() const { return Configuration.Version; }
   const control::Configuration &configuration() const { return Configuration; }
-  /// The instances that get fewer reads, since they answer them worse than
-  /// their siblings.
+  /// Number of outlier instances, which get a reduced share of reads because
+  /// they answer them worse than their siblings.
   int heldBackInstances() const;
-  /// Of the services that this VM watches.
+  /// Observations of the primaries of the services that this VM watches.
   std::vector<PrimarySight> primarySights(TimePoint now);
 
 private:
-  /// Closes all connections to an instance that has started again: a connection
-  /// belongs to the life that was known when it was opened. One that was opened
-  /// to the new life before the word of it came is closed too, which costs a
-  /// new connection; one of the earlier life is never used.
+  /// Closes all connections to an instance that has restarted: a connection
+  /// belongs to the incarnation that was known when it was opened. A connection
+  /// to the new incarnation that was opened before its record arrived is closed
+  /// too, which costs one reconnect; a connection to the earlier incarnation is
+  /// never used.
   void dropEarlierLife(TimePoint now, const membership::InstanceRecord &record);
   ClientSession *session(ClientId client);
-  /// Ends a session at rest whose client should turn to another VM.
+  /// Ends an idle session whose client should connect to another VM.
   void endIfSentAway(TimePoint now, ClientId client);
-  /// Ends the session, which waits for no answer, and its connection.
+  /// Ends the session, which waits for no answer, and closes its connection.
   void endSession(TimePoint now, ClientId client, SessionEnd reason);
-  /// The same, also for a client that has no session yet, and tells it why:
-  /// nothing that it has sent is run.
+  /// Ends the session, or the connection of a client that has none yet, with a
+  /// refusal that gives the reason: none of the client's pending statements is
+  /// run.
   void endWithRefusal(TimePoint now, ClientId client, SessionEnd reason);
-  /// The client has no session any more.
+  /// Removes the client's session and all other state of the client.
   void forgetClient(TimePoint now, ClientId client);
-  /// The client leaves: a statement of it that isn't answered yet is told.
+  /// Logs the statement, if any, that a disconnecting client still waits for.
   void noteGivenUp(TimePoint now, ClientId client);
-  /// The first configuration is there: tells who has waited for it.
+  /// Logs how many clients waited for the first configuration, and how long.
   void noteEarlyClients(TimePoint now);
-  /// The statement came after its session's end: nobody answers it.
+  /// Logs a statement that arrived after its session's end and gets no answer.
   void noteUnanswered(ClientId client, const ClientStatement &statement);
-  /// Whose client it is that shows \p key; none if the route asks for a key
-  /// and this isn't one.
+  /// The organisation whose client presents \p key; none if the route requires
+  /// a key and \p key isn't a valid one.
   std::optional<OrganisationId> organisationOf(const control::Route &route,
                                                const KeyDigest &key) const;
-  /// Whose connections the proxy's own questions need at a lender: anybody's.
+  /// The organisation to name when a connection is borrowed for the proxy's own
+  /// probes; none where any organisation's connection will do.
   std::optional<OrganisationId> ofQuestions() const;
-  /// Judges the sessions by the keys of a new configuration.
+  /// Checks the sessions' keys against a new configuration.
   void reviewSessions(TimePoint now);
   void reviewSession(TimePoint now, ClientSession &session);
-  /// The client's key is no longer valid: nothing more of it is run.
+  /// The client's key is no longer valid: no further statement of it is run.
   void withdraw(TimePoint now, ClientSession &session);
-  /// Rolls back the open transaction of a withdrawn session that rests, and
-  /// ends the session once it is outside of one.
+  /// For a session with a withdrawn key and no pending statement: rolls back
+  /// its open transaction, and ends the session once it is outside a
+  /// transaction.
   void endIfWithdrawn(TimePoint now, ClientId client);
   InstanceTracker &tracker(const std::string &service);
   const control::Route *routeOf(const ClientSession &session) const;
   int usableConnections(const std::string &service) const;
   /// How many connections one instance of the service allows.
   int maxConnections(const std::string &service) const;
-  /// How many of them all VMs together may keep.
+  /// How many of them all VMs together may hold.
   int pooledConnections(const std::string &service) const;
-  /// The service's instances have too few connections for all VMs.
+  /// The service's instances allow too few connections for each VM to have its
+  /// own, so only their homes hold connections.
   bool usesHomes(const std::string &service) const;
-  /// How many connections a home may hold, so that the rest stays free.
+  /// How many connections a home may hold, so that the remainder stays free.
   int homeConnections(const std::string &service) const;
-  /// How many it may hold right after a start: its part of the room that an
-  /// instance has left while it still counts the connections that all VMs have
-  /// lost.
+  /// How many it may hold right after a start: its part of the connections that
+  /// an instance has free while it still counts those that all VMs lost.
   int startConnections(const std::string &service) const;
-  /// How many more it may hold while transactions at rest hold as many: a part
-  /// of the room that is kept free.
+  /// How many more it may hold while idle transactions hold as many: a part of
+  /// the connections that are kept free.
   int spareConnections(const std::string &service) const;
   bool isHomeOf(const membership::InstanceRecord &record);
-  /// Whether this VM is the one that holds the organisation's connection.
+  /// Whether this VM is the home that holds the organisation's connection.
   bool isHomeFor(TimePoint now, const membership::InstanceRecord &record,
                  const std::optional<OrganisationId> &organisation);
   membership::HomeShare homeShare(const std::string &service) const;
-  /// The lender isn't asked for the instance for now.
+  /// The lender isn't asked for the instance for now, after a failure or
+  /// because it had no free connection.
   bool isBadLender(TimePoint now, const InstanceId &instance,
                    const std::string &lender) const;
-  /// Some lender isn't asked for the instance for now.
+  /// At least one lender isn't asked for the instance for now.
   bool hasBadLender(TimePoint now, const InstanceId &instance) const;
-  /// This VM has started a moment ago. If all VMs have lost their power
-  /// together, the instances count the lost connections for some seconds more.
+  /// This VM has started recently. If all VMs lost power together, the
+  /// instances count the lost connections for some seconds more.
   bool isCautious(TimePoint now) const;
   ConnectionShare shareOf(TimePoint now,
                           const membership::InstanceRecord &record);
-  /// Only borrowed connections are left, and an own one may be had again.
+  /// Only borrowed connections are left, and an own one may be opened again.
   bool mustReturnToOwn(TimePoint now,
                        const membership::InstanceRecord &record) const;
-  /// Gives up a use of a borrowed connection.
+  /// Gives up the borrow that \p connection serves, and closes the connection.
   void endBorrowed(InstanceConnection &connection);
   InstanceConnection *
   findLendable(TimePoint now, const std::string &service,
@@ -236,44 +244,45 @@
                  ClientStatement statement);
 
   void dispatch(TimePoint now, ClientSession &session);
-  /// Whether the quota lets the session's operation be sent; if not, it waits
-  /// or is refused.
+  /// Whether the quota admits the session's operation; if not, it waits or is
+  /// refused.
   bool isAdmitted(TimePoint now, ClientSession &session);
-  /// Whether only the primary may run the statement, and by which proof.
+  /// Decides whether only the primary may run the statement, and whether it
+  /// needs a transaction that proves that the instance leads.
   static void chooseTargets(ClientSession &session);
-  /// A read that replicas could run if a position were known, and one is on its
-  /// way: after a start the reads of all VMs would otherwise meet at the
-  /// primary.
+  /// Replicas could run the read if a position were known, and a request for
+  /// one is in flight: after a start the reads of all VMs would otherwise go to
+  /// the primary at once.
   bool awaitsProof(TimePoint now, const ClientSession &session);
   bool dispatchToPrimary(TimePoint now, ClientSession &session);
   bool dispatchRead(TimePoint now, ClientSession &session);
-  /// A number from 0 to 1 that differs by statement and VM, so that VMs that
-  /// see the same at the same moment don't all turn to the same instance.
+  /// A number from 0 to 1 that differs by statement and VM, so that VMs with
+  /// the same state at the same moment don't all choose the same instance.
   double chanceOf(const ClientSession &session) const;
   bool isInOwnHall(InstanceTracker &instances,
                    const InstanceId &instance) const;
-  /// Replicas could run the statement as well if they were not behind, and it
-  /// is the first that a congested primary can do without.
+  /// Replicas could run the statement as well if they were not behind, so it is
+  /// among the first that a congested primary sheds.
   static bool mayBeShed(const ClientSession &session);
-  /// The primary is congested, and the statement, which replicas could run as
-  /// well if they were not behind, leaves it to others.
+  /// The primary is congested and sheds the statement, which replicas could run
+  /// as well if they were not behind.
   bool keepsOffPrimary(TimePoint now, const ClientSession &session);
   std::optional<Mark> minimumPosition(TimePoint now,
                                       const ClientSession &session);
-  /// A free connection to the instance; where there is none, one may be opened
-  /// for later.
+  /// A free connection to the instance, or null; where there is none, one may
+  /// be opened for later use.
   InstanceConnection *acquire(TimePoint now, const ClientSession &session,
                               const InstanceId &instance);
-  /// As many statements of this VM as it should have at once are there.
+  /// This VM has as many statements at the instance as it should have at once.
   bool isAtLimit(TimePoint now, const TrackedInstance &instance,
                  const OrganisationId &organisation);
-  /// Opens one more connection if the wait for one that is in use may be long.
+  /// Opens one more connection if the wait for one in use may be long.
   void openIfWorthIt(TimePoint now, const ClientSession &session,
                      const membership::InstanceRecord &record);
   /// Opens one more connection to the instance, or borrows one where this VM
   /// can't have its own; with \p mayBorrowBeyond also where all that it may
-  /// have are in use. Of lenders only those will do where the statement of
-  /// \p session, if any, would wait no longer than is of use to it.
+  /// have are in use. Lenders at which the statement of \p session, if any,
+  /// would wait too long aren't asked.
   bool openTo(TimePoint now, const membership::InstanceRecord &record,
               const std::optional<OrganisationId> &organisation,
               bool mayBorrowBeyond = false,
@@ -287,36 +296,37 @@
   lenderFor(TimePoint now, const membership::InstanceRecord &record,
             const std::optional<OrganisationId> &organisation,
             const ClientSession *session);
-  /// A use for the session's statement would wait there no longer than is of
-  /// use to it, as far as the lender has told.
+  /// The lender has capacity: according to its reports, a borrow for the
+  /// session's statement would not wait too long there.
   bool hasRoom(TimePoint now, const ClientSession &session,
                const InstanceId &instance, const std::string &lender);
-  /// So many of \p lenders have told longer waits, and none has served a use
-  /// since, that the others are taken to have no room either.
+  /// Enough of \p lenders have reported waits that are too long, and none has
+  /// served a borrow since, to assume that the others have no capacity either.
   bool lacksRoom(TimePoint now, const ClientSession &session,
                  const InstanceId &instance,
                  const std::vector<std::string> &lenders);
-  /// The lender has refused the session's statement for such a wait.
+  /// Records that the lender refused the session's statement for such a wait.
   void noteTold(TimePoint now, ClientSession &session,
                 const InstanceId &instance, const std::string &lender,
                 Duration expectedWait);
-  /// What is known of the session's statement.
+  /// The facts that limit how long the session's statement may wait.
   overload::WaitFacts factsOf(TimePoint now, const ClientSession &session);
-  /// No primary of the service is known, or the known one is silent, denies its
-  /// lead or leaves.
+  /// No primary of the service is known, or the known one is silent, denies
+  /// that it leads, or is leaving.
   bool awaitsSuccessor(TimePoint now, const std::string &service);
   /// The instances that could run the session's statement.
   std::vector<InstanceId> targetsOf(TimePoint now,
                                     const ClientSession &session);
-  /// If all VMs that could lend a connection for the session's statement have
-  /// told a wait beyond what is of use to it, the least of these.
+  /// The shortest wait reported by the VMs that could lend a connection for the
+  /// session's statement, if the reported waits of all are too long.
   std::optional<Duration> toldTooLong(TimePoint now,
                                       const ClientSession &session);
-  /// The same for one instance; nothing as well if there is another way.
+  /// The same for one instance; also none if this VM need not borrow.
   std::optional<Duration> toldTooLongAt(TimePoint now,
                                         const ClientSession &session,
                                         const TrackedInstance &instance);
-  /// There will be room for the session's statement after \p wait.
+  /// Refuses the session's statement, since a lender is expected to have a free
+  /// connection only after \p wait.
   void refuseEarly(TimePoint now, ClientSession &session, Duration wait);
   void noteDirectBad(TimePoint now, TrackedInstance &instance);
   void sendBegin(TimePoint now, ClientSession &session,
@@ -335,15 +345,16 @@
   void beginAnswered(TimePoint now, ClientSession &session,
                      InstanceConnection &connection,
                      const StatementReply &reply, TimePoint sentAt);
-  /// Learns what the route's statements take, and how busy the instance is.
+  /// Updates the usual time of the route's statements, and the estimate of how
+  /// congested the instance is.
   void noteWork(TimePoint now, const ClientSession &session,
                 const InstanceId &instance, Duration took);
   /// A read outside of a transaction that replicas may run.
   static bool isSharedRead(const ClientSession &session);
-  /// The instance failed or refused the read, or gave no answer to it.
+  /// Counts a read that the instance failed, refused or did not answer.
   void noteReadFailure(TimePoint now, const ClientSession &session,
                        const InstanceId &instance);
-  /// Tells which instances are held back from now on, or have returned.
+  /// Logs which instances have become outliers, and which no longer are.
   void reviewOutliers(TimePoint now);
   void singleAnswered(TimePoint now, ClientSession &session,
                       const InstanceId &instance, StatementReply reply);
@@ -360,17 +371,17 @@
   void expireWork(TimePoint now, ClientSession &session);
   void expireSent(TimePoint now, ClientSession &session);
   void expireCommit(TimePoint now, ClientSession &session);
-  /// Ends an open transaction whose connection has gone silent.
+  /// Aborts an open transaction whose connection no longer answers.
   void abortSilentTransaction(TimePoint now, const ClientSession &session,
                               InstanceConnection &connection,
                               const TrackedInstance &instance);
-  /// Whether another connection may have the answer sooner, and running the
+  /// Whether another connection may return the answer sooner, and running the
   /// statement twice does no harm.
   static bool isMovable(const ClientSession &session,
                         const InstanceConnection &connection,
                         const TrackedInstance &instance);
-  /// A sibling should answer the read sooner than the slow instance that has
-  /// it now.
+  /// A sibling should answer the read sooner than the slow instance that it was
+  /// sent to.
   bool isWorthMoving(TimePoint now, const ClientSession &session);
   void moveSlowStatement(TimePoint now, ClientSession &session);
   void lostWork(TimePoint now, ClientSession &session,
@@ -385,25 +396,27 @@
   static scheduling::WaitRank rankOf(const ClientSession &session);
   std::vector<ClientId> waitingInOrder(TimePoint now,
                                        const std::string &service);
-  /// What an answer or an opening on \p connection counts for at the lines.
+  /// Charges the time of an answer on \p connection, or of opening it, to its
+  /// organisation's share of the queues.
   void noteSlotTime(TimePoint now, const InstanceConnection &connection,
                     Duration took);
   void dispatchWaiting(TimePoint now, const std::string &service);
   void probePrimaries(TimePoint now);
-  /// Asks the primary for its position when no newer proof has come by itself.
+  /// Asks the primary for its position when no recent statement has proved it.
   void probePrimary(TimePoint now, const std::string &service,
                     std::optional<TimePoint> newestProofAt,
                     const TrackedInstance &instance);
-  /// Tries own connections again where only borrowed ones are left.
+  /// Tries to open own connections again where only borrowed ones are left.
   void restoreOwnConnections(TimePoint now);
-  /// Asks every instance of the service whether it leads.
+  /// Asks every instance of the service whether it is the primary.
   void searchPrimary(TimePoint now, const std::string &service,
                      InstanceTracker &instances);
-  /// Nobody uses it, and this VM has enough others or may not keep it.
+  /// The connection is free, and this VM has enough others or may not keep it.
   bool isUnneeded(TimePoint now, const InstanceConnection &connection);
-  /// It was never accepted in time, or owes for too long what nobody waits for.
+  /// The connection was not accepted in time, or has not answered an abandoned
+  /// command for too long.
   bool isDead(TimePoint now, const InstanceConnection &connection);
-  /// Notes that the instance is silent, if the connection shows it.
+  /// Records that the instance is silent, if \p connection shows it.
   void noteSilenceOn(TimePoint now, const InstanceConnection &connection);
   void sweepConnections(TimePoint now);
   void sendProbe(TimePoint now, InstanceConnection &connection);
@@ -421,37 +434,37 @@
   std::map<std::string, TimePoint> ProbedAt;
   ServiceWatch Watch;
   std::map<ClientId, ClientSession> Sessions;
-  /// Clients whose session this VM has ended, or that it refused one, and that
-  /// have not yet closed their side: what they ask now gets no answer.
+  /// Clients that this VM refused, or whose session it has ended, and that have
+  /// not closed their side yet: their statements get no answer.
   std::map<ClientId, SessionEnd> Ended;
-  /// Came before the first configuration, and wait for it.
+  /// A client that connected before the first configuration and waits for it.
   struct EarlyClient {
     ClientId Client;
     DatabaseId Database;
     KeyDigest Key;
     TimePoint ConnectedAt{};
-    /// What it has asked meanwhile.
+    /// The statements that it has sent meanwhile.
     std::vector<ClientStatement> Asked;
   };
   std::vector<EarlyClient> Unconfigured;
   scheduling::ServingLine Line;
   overload::WaitPolicy Patience;
   RouteWork UsualWork;
-  /// Of reads that are sent twice since the instance that has them is slow.
+  /// The budget of reads that are sent again because their instance is slow.
   admission::RetryBudget SecondTries;
   LoadShedder Shedder;
   /// By service, the statements that need a connection.
   std::map<std::string, std::set<WaitKey>> Waiting;
   ConnectionPool Pool;
-  /// When the first configuration came.
+  /// When the first configuration arrived.
   TimePoint StartedAt{};
   bool IsIsolated = false;
   bool IsControlLost = false;
   bool IsClosing = false;
   membership::HomeTable Homes;
   Lender Lending;
-  /// By instance, the lenders that failed to reach it, and until when they are
-  /// not asked again.
+  /// By instance, the lenders that failed or had no free connection, and until
+  /// when they are not asked again.
   std::map<InstanceId, std::map<std::string, TimePoint>> BadLenders;
   overload::ToldWaits Told;
 };
--- a/src/proxy/internal/Access.cpp
+++ b/src/proxy/internal/Access.cpp
@@ -1,9 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of Proxy that knows whose client a session is, whether its
-/// organisation may have one more operation run, and what becomes of it when
-/// its key is taken away.
+/// \file The part of Proxy that finds a session's organisation, applies the
+/// organisation's quota, and ends a session whose key was withdrawn.
 
 #include "proxy/Proxy.h"
 
@@ -39,7 +38,7 @@
 
 void Proxy::reviewSession(TimePoint now, ClientSession &session) {
   const auto route = Configuration.Routes.find(session.Database);
-  // NOTE: without a route the next statement is refused, whoever asks.
+  // NOTE: without a route the next statement is refused, whatever the key.
   if (route == Configuration.Routes.end())
     return;
   const auto organisation = organisationOf(route->second, session.Key);
@@ -56,7 +55,7 @@
   if (!session.Pinned || isSent)
     return;
   // NOTE: the transaction is on a connection of the organisation that the key
-  // belonged to.
+  // belonged to before.
   if (session.Current)
     return refuse(now, session, ReplyCode::Aborted,
                   "the key belongs to another organisation now");
@@ -73,8 +72,9 @@
   const ClientId id = session.Id;
   const bool isSent =
       session.Current && session.Current->Stage != WorkStage::Waiting;
-  // NOTE: what an instance already has is answered, so that the client knows
-  // its outcome; a transaction goes no further than that.
+  // NOTE: a statement already sent to an instance is still answered, so that
+  // the client gets its outcome; no further statement of the transaction is
+  // run.
   if (isSent)
     return;
   if (session.Current)
--- a/src/proxy/internal/Answers.cpp
+++ b/src/proxy/internal/Answers.cpp
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of Proxy that takes the instances' answers and losses.
+/// \file The part of Proxy that handles the instances' answers and lost
+/// connections.
 
 #include "proxy/Proxy.h"
 
@@ -14,11 +15,13 @@
 
 namespace {
 
-/// A read that an instance failed is tried on this many in all.
+/// The maximum number of times a read that instances fail is sent.
 constexpr int MostReadTries = 2;
-/// A statement that a lost connection has rolled back is sent at most so often.
+/// The maximum number of times a statement is sent if lost connections roll it
+/// back.
 constexpr int MostSendings = 3;
-/// The pause before the same instance is asked again grows up to this factor.
+/// The largest factor by which the pause before a retry at the same instance
+/// grows.
 constexpr int MostPauseFactor = 6;
 
 } // namespace
@@ -38,8 +41,8 @@
       known->IsDirectBad = false;
       known->LastDirectAnswerAt = now;
     }
-    // NOTE: a borrowed connection is ready once its lender is reached; the
-    // instance has said nothing yet.
+    // NOTE: a borrowed connection is ready once its lender is connected; the
+    // instance has not answered anything yet.
     if (!it->isBorrowed()) {
       tracker(service).noteAnswer(now, instance, now - it->OpenedAt);
       noteSlotTime(now, *it, now - it->OpenedAt);
@@ -63,9 +66,9 @@
   auto *known = instances.find(instance);
   if (!known || instances.primary(now) != instance)
     return instances.remove(instance);
-  // NOTE: a primary that has ended is replaced only once VMs report it as
-  // silent; forgotten here, it was missed by nobody until its record expired.
-  // Its service had no primary for 20 s (simulated day).
+  // NOTE: a primary that has stopped is replaced only once VMs report it as
+  // silent. When it was removed here, no VM reported it, and its service had no
+  // primary for 20 s, until its record expired.
   instances.noteSilence(now, instance);
   noteDirectBad(now, *known);
 }
@@ -78,7 +81,7 @@
   const SentCommand sent = it->Sent.front();
   it->Sent.pop_front();
   auto &instances = tracker(it->Service);
-  // NOTE: a lender that refuses answers by itself.
+  // NOTE: a lender that refuses sends the answer itself.
   const bool isFromInstance = !it->IsRefused;
   if (auto *instance = instances.find(it->Instance)) {
     if (!it->isBorrowed()) {
@@ -97,7 +100,8 @@
     instance->NewestAnsweredSentAt =
         std::max(instance->NewestAnsweredSentAt, sent.SentAt);
   if (sent.Reason == Purpose::Statement && isFromInstance) {
-    // NOTE: an instance that fails at once would seem to be the fastest.
+    // NOTE: otherwise an instance that fails at once would seem to be the
+    // fastest.
     if (reply.Code == ReplyCode::Failed || reply.Code == ReplyCode::Busy)
       instances.noteRefusal(now, it->Instance);
     else
@@ -128,7 +132,7 @@
   if (!it->Sent.empty())
     return;
   if (it->IsAbandoned) {
-    // NOTE: a commit that was given up on may come back as not run, with its
+    // NOTE: an abandoned commit may be answered as not run, with its
     // transaction still open.
     if (reply.State != SessionState::Idle && sent.Reason != Purpose::End)
       return rollBack(now, *it);
@@ -209,7 +213,8 @@
                      const InstanceId &instance, Duration took) {
   auto &instances = tracker(session.Route.Service);
   auto *known = instances.find(instance);
-  // NOTE: a commit or a statement of a transaction has work of its own kind.
+  // NOTE: commits and statements of transactions take a different time than
+  // single statements.
   if (!known || session.State != SessionState::Idle)
     return;
   const double slowness = UsualWork.slowness(session.Route, took);
@@ -290,7 +295,8 @@
   auto &work = *session.Current;
   work.Stage = WorkStage::Waiting;
   work.Connection.reset();
-  // NOTE: the instance was not asked, and another way to it may be free.
+  // NOTE: the lender refused before the instance was asked, and another path to
+  // the instance may be free.
   const bool isLenders = std::exchange(work.IsRefusedByLender, false);
   auto &instances = tracker(session.Route.Service);
   if (code == ReplyCode::Lagging && work.Minimum)
@@ -322,7 +328,7 @@
   if (auto *instance = instances.find(lost.Instance))
     instance->Statements =
         std::max(0, instance->Statements - lost.statements());
-  // NOTE: the loss of a lender says nothing of the instance.
+  // NOTE: the loss of a lender doesn't mean that the instance is silent.
   if (!lost.isBorrowed())
     instances.noteSilence(now, lost.Instance);
   if (lost.Borrower)
@@ -343,7 +349,8 @@
   }
   if (owner->Pinned == connection) {
     owner->Pinned.reset();
-    // NOTE: a statement that waits to be repeated there must not run elsewhere.
+    // NOTE: a statement that waits for a retry in the transaction must not run
+    // on another connection.
     if (owner->Current)
       return refuse(now, *owner, ReplyCode::Aborted,
                     "the connection broke and rolled the transaction back");
--- a/src/proxy/internal/ClientSession.h
+++ b/src/proxy/internal/ClientSession.h
@@ -18,7 +18,7 @@
 enum class TransactionMode { None, ReadWrite, ReadOnly };
 
 enum class WorkStage {
-  /// Needs a connection.
+  /// Waits for a connection.
   Waiting,
   /// The transaction's start was sent, the statement not yet.
   Beginning,
@@ -34,23 +34,26 @@
   TimePoint Deadline{};
   TimePoint NotBefore{};
   TimePoint SentAt{};
-  /// Where it was sent.
+  /// The connection that it was sent on.
   std::optional<ConnectionId> Connection;
   int Sendings = 0;
   std::set<InstanceId> Tried;
-  /// The position that the instance it was sent to last must have.
+  /// The minimum position required of the instance that it was last sent to.
   std::optional<Mark> Minimum;
-  /// It was kept from an overloaded primary for the sake of other routes.
+  /// An overloaded primary shed it in favour of other routes.
   bool IsShed = false;
-  /// What it was sent on last was borrowed, and the lender had none to lend.
+  /// It was last sent on a borrowed connection, and the lender had none to
+  /// lend.
   bool IsRefusedByLender = false;
-  /// Lenders that expected it to wait for longer than is of use to it.
+  /// The number of lenders that refused it because it would wait too long
+  /// there.
   int LendersTooFull = 0;
-  /// Only the primary is asked from now on.
+  /// It is sent only to the primary from now on.
   bool PrimaryOnly = false;
-  /// It runs in a transaction of the proxy's own, which proves the lead.
+  /// It runs in a transaction that the proxy opens to prove that the instance
+  /// is the primary.
   bool IsWrapped = false;
-  /// Why it was last not run, for the refusal.
+  /// Why it was last not run, for the detail of a refusal.
   std::string LastRefusal = "no instance could take it";
 };
 
@@ -58,15 +61,16 @@
   ClientId Id;
   DatabaseId Database;
   KeyDigest Key;
-  /// Whose client it is; its statements run only on connections of this one.
+  /// The client's organisation, whose connections alone carry its statements.
   OrganisationId Organisation;
-  /// The client's key has been taken away.
+  /// The client's key has been withdrawn.
   bool IsWithdrawn = false;
   SessionValues Values;
   std::map<std::string, PreparedShape> Prepared;
   SessionState State = SessionState::Idle;
   TransactionMode Mode = TransactionMode::None;
-  /// The route that the open transaction began with.
+  /// The route of the current statement, or that the open transaction began
+  /// with.
   control::Route Route;
   /// The connection that holds the transaction.
   std::optional<ConnectionId> Pinned;
@@ -76,17 +80,19 @@
   /// An instance has run a statement of the open transaction.
   bool HasRunInTransaction = false;
   bool HasWritten = false;
-  /// Ended by the proxy while the client rested; told at its next statement.
+  /// The proxy aborted the transaction while it was idle; the client's next
+  /// statement reports it.
   bool WasAbortedAtRest = false;
-  /// It was refused while the VM was cut off, and ends once it is at rest.
+  /// A statement was refused while the VM was isolated; the session ends once
+  /// it is idle.
   bool IsTurnedAway = false;
-  /// The newest commit of this session.
+  /// The position of this session's newest commit.
   std::optional<Mark> LastCommit;
   std::optional<Work> Current;
   std::deque<ClientStatement> Queue;
   TimePoint LastActive{};
 
-  /// Nothing is asked, and no transaction is open.
+  /// No statement is pending and no transaction is open.
   bool isAtRest() const {
     return State == SessionState::Idle && !Current && Queue.empty();
   }
--- a/src/proxy/internal/RouteWork.cpp
+++ b/src/proxy/internal/RouteWork.cpp
@@ -7,14 +7,12 @@
 
 namespace {
 
-/// Weight of a new sample in the smoothed time: the statements of one route
-/// differ by some times among themselves.
+/// Weight of a new sample in the smoothed time: the times of one route's
+/// statements differ by a multiple.
 constexpr double SampleWeight = 0.05;
-/// An instance that takes less than so many times its usual time tells what a
-/// route's statements take. With 1.7 the answers of a full primary became the
-/// usual ones within some seconds, and nothing was left out for it any more:
-/// 0.846 of the worth was earned on days with replicas behind, with 1.2 0.855
-/// (simulated days, means of twenty).
+/// Samples count only while the instance takes less than this many times its
+/// usual time. With 1.7 the answers of a primary at capacity became the usual
+/// ones within some seconds, and no more reads were shed from it.
 constexpr double MostUncongested = 1.2;
 
 } // namespace
--- a/src/proxy/internal/RouteWork.h
+++ b/src/proxy/internal/RouteWork.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file How long the statements of each route usually take at an instance, so
-/// that a queue there can be told from longer statements.
+/// that a queue there can be distinguished from longer statements.
 
 #ifndef STEPLEDGE_PROXY_INTERNAL_ROUTEWORK_H
 #define STEPLEDGE_PROXY_INTERNAL_ROUTEWORK_H
@@ -17,13 +17,13 @@
 
 class RouteWork {
 public:
-  /// A statement of \p route took \p took at an instance that takes
-  /// \p congestion times as long as usual.
+  /// Records that a statement of \p route took \p took at an instance whose
+  /// answers take \p congestion times as long as usual.
   void note(const control::Route &route, Duration took, double congestion);
-  /// What a statement of \p route usually takes; none while that isn't known.
+  /// The usual time of a statement of \p route; none while it is unknown.
   std::optional<Duration> usual(const control::Route &route) const;
-  /// How many times as long as usual \p took is for a statement of \p route; 1
-  /// while that isn't known.
+  /// The ratio of \p took to the usual time of a statement of \p route; 1 while
+  /// that is unknown.
   double slowness(const control::Route &route, Duration took) const;
 
 private:
--- a/src/proxy/internal/Sending.cpp
+++ b/src/proxy/internal/Sending.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of Proxy that sends commands on a connection, and takes the
-/// connection back afterwards.
+/// \file The part of Proxy that sends commands on a connection and frees the
+/// connection afterwards.
 
 #include "proxy/Proxy.h"
 
@@ -64,7 +64,7 @@
                           const std::optional<Mark> &minimum) {
   auto &work = *session.Current;
   stopWaiting(session);
-  // NOTE: the lender of a borrowed connection sets it up.
+  // NOTE: a borrowed connection is set up by its lender.
   std::vector<InstanceCommand> setup;
   if (!connection.isBorrowed())
     setup = valueSetup(connection, session.Values);
@@ -141,7 +141,7 @@
   auto *connection = Pool.find(*work.Connection);
   if (!connection)
     return;
-  // NOTE: a use that is given up ends at its lender too, and a new one costs
+  // NOTE: an abandoned borrow ends at its lender too, and a new one costs
   // nothing.
   if (connection->isBorrowed())
     return endBorrowed(*connection);
--- a/src/proxy/internal/SessionEnds.cpp
+++ b/src/proxy/internal/SessionEnds.cpp
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of Proxy that ends clients' sessions, and tells why. A
-/// session ends behind an answer or with a refusal, never without a word: a
-/// statement may be on its way.
+/// \file The part of Proxy that ends clients' sessions and logs the reason. A
+/// session ends after an answer or with a refusal, never silently, since a
+/// statement may be in flight.
 
 #include "proxy/Proxy.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// What a client is told whose session ends without its having asked.
+/// The reply to a client whose session this VM ends.
 StatementReply refusalOf(SessionEnd reason) {
   StatementReply reply;
   reply.Code = ReplyCode::Busy;
@@ -130,7 +130,7 @@
   std::size_t asked = 0;
   for (const auto &it : Unconfigured)
     asked += it.Asked.size();
-  // NOTE: the first has waited longest.
+  // NOTE: the first client has waited longest.
   Log.decision(absl::StrCat(
       "event=early_clients clients=", Unconfigured.size(),
       " statements=", asked,
--- a/src/proxy/tests/FakeIo.h
+++ b/src/proxy/tests/FakeIo.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Sockets that a test plays itself: what the proxy asks for is kept.
+/// \file Fake sockets and log that record the proxy's calls for the test.
 
 #ifndef STEPLEDGE_PROXY_TESTS_FAKEIO_H
 #define STEPLEDGE_PROXY_TESTS_FAKEIO_H
@@ -75,13 +75,13 @@
   std::map<ConnectionId, std::deque<InstanceCommand>> Sent;
   std::vector<std::string> Lines;
   std::vector<ReplyCode> Retried;
-  /// The priorities of those beyond their quota.
+  /// The priorities of the statements refused by quota.
   std::vector<int> RefusedByQuota;
-  /// What borrowers were told.
+  /// The replies and reports sent to borrowers.
   std::map<BorrowKey, std::vector<StatementReply>> Lent;
   std::map<BorrowKey, LendingEnd> Ended;
   std::map<BorrowKey, Duration> ToldWaits;
-  /// The same in its order.
+  /// The kinds of these messages, in the order of sending.
   std::vector<std::string> Told;
 };
 
--- a/src/proxy/tests/OrganisationFixture.h
+++ b/src/proxy/tests/OrganisationFixture.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A proxy before one service, with clients of three organisations.
+/// \file A proxy in front of one service, with clients of three organisations.
 
 #ifndef STEPLEDGE_PROXY_TESTS_ORGANISATIONFIXTURE_H
 #define STEPLEDGE_PROXY_TESTS_ORGANISATIONFIXTURE_H
@@ -12,7 +12,7 @@
 
 namespace stepledge::proxy::tests {
 
-/// Organisations red, blue and green; the key of each is its name and "-key".
+/// Organisations red, blue and green; the key of each is its name plus "-key".
 struct OrganisationFixture : ProxyFixture {
   OrganisationFixture() : Next(Core.configuration()) {
     Next.HasOrganisations = true;
@@ -42,7 +42,7 @@
     return client;
   }
 
-  /// Gives the connection that carries the write.
+  /// Returns the connection that carries the write.
   ConnectionId sendWrite(ClientId client, const char *text) {
     ask(client, StatementKind::Write, text);
     answerOwn(markOf(3, 100));
@@ -69,7 +69,7 @@
     return n;
   }
 
-  /// What applyNext() makes the configuration.
+  /// The configuration that applyNext() applies.
   control::Configuration Next;
 };
 
--- a/src/proxy/tests/OrganisationTest.cpp
+++ b/src/proxy/tests/OrganisationTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Clients of organisations: whose connections carry their statements,
-/// and what becomes of them when a key is taken away.
+/// \file Clients of organisations: which connections carry their statements,
+/// and what happens when a key is withdrawn.
 
 #include "proxy/tests/OrganisationFixture.h"
 
@@ -55,7 +55,7 @@
 
 TEST_CASE("Organisation_ItsConnectionMakesRoomForOthers") {
   OrganisationFixture it;
-  // One connection an instance for this VM.
+  // This VM may have one connection to each instance.
   it.Next.Services["db"].MaxConnections = 1;
   it.applyNext();
   for (const char *name : {"red", "blue", "green", "red"}) {
@@ -236,8 +236,8 @@
 
 namespace {
 
-/// Forty VMs in two halls before instances that allow 29 connections; this one
-/// is no home.
+/// Forty VMs in two halls share instances that allow 29 connections; this VM is
+/// not a home.
 void shareWithFortyVms(OrganisationFixture &it) {
   it.Next.Services["db"].MaxConnections = 29;
   it.applyNext();
@@ -248,7 +248,7 @@
   it.Core.setEntries(entries);
 }
 
-/// The VMs that a write asks in turn, each of which has nothing free.
+/// The lenders that a write asks in turn; none has a free connection.
 std::set<std::string> askedForAWrite(OrganisationFixture &it,
                                      const char *text) {
   std::set<std::string> asked;
@@ -258,7 +258,7 @@
     for (const auto &[id, target] : std::map(it.Io.Opened)) {
       if (!target.isBorrowed() || target.Instance != InstanceId("p"))
         continue;
-      // NOTE: the proxy's own questions have another order.
+      // NOTE: the proxy's own probes use another order.
       if (target.Organisation == OrganisationId("red"))
         asked.insert(target.LenderIp);
       it.Core.lenderRefused(it.Now, id, LendingEnd::Full);
@@ -269,7 +269,8 @@
   return asked;
 }
 
-/// This VM, which is no home, is asked to lend; true if it opens a connection.
+/// Requests a borrow from this VM, which is not a home; true if it opens a
+/// connection.
 bool opensForABorrower(OrganisationFixture &it, std::uint64_t use) {
   for (const auto &[id, target] : std::map(it.Io.Opened))
     if (target.Instance == InstanceId("p"))
@@ -290,8 +291,8 @@
 } // namespace
 
 TEST_CASE("Organisation_GuestsAreLeftAloneRightAfterAStart") {
-  // After a loss of power the instances count the lost connections for 3 s
-  // more, and what guests open then the homes can't.
+  // After a power loss the instances count the lost connections for 3 s more,
+  // and a connection that a non-home VM opens then is missing for the homes.
   OrganisationFixture it;
   shareWithFortyVms(it);
   const auto homes = askedForAWrite(it, "WRITE x 1");
@@ -304,7 +305,7 @@
 
 TEST_CASE("Organisation_WhoHasHadLessOfAnInstanceGoesFirst") {
   OrganisationFixture it;
-  // One connection an instance for this VM.
+  // This VM may have one connection to each instance.
   it.Next.Services["db"].MaxConnections = 1;
   it.applyNext();
   it.ask(it.connectWith("current", "red-key"), StatementKind::Write,
--- a/src/proxy/tests/ProxyFixture.h
+++ b/src/proxy/tests/ProxyFixture.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A proxy before one service, whose instances the test plays.
+/// \file A proxy in front of one service whose instances the test simulates.
 
 #ifndef STEPLEDGE_PROXY_TESTS_PROXYFIXTURE_H
 #define STEPLEDGE_PROXY_TESTS_PROXYFIXTURE_H
@@ -21,7 +21,7 @@
   return {{term}, {number}};
 }
 
-/// One service with a primary and two replicas, and a proxy before it.
+/// One service with a primary and two replicas, and a proxy in front of it.
 struct ProxyFixture {
   ProxyFixture() : Core(options(), Io, Io, Io, Quota) {
     control::Configuration configuration;
@@ -69,7 +69,7 @@
     Core.applyInstance(Now, record);
   }
 
-  /// Lets time pass and takes every connection that the proxy opens.
+  /// Accepts every connection that the proxy opens.
   void connectAll() {
     for (const auto &[id, target] : std::map(Io.Opened))
       if (Ready.insert(id).second)
@@ -138,7 +138,8 @@
     connectAll();
   }
 
-  /// Answers begins, probes, set-up and ends until only clients' texts wait.
+  /// Answers the proxy's own commands (begin, probe, set-up, end) until only
+  /// clients' statements are unanswered.
   void answerOwn(const Mark &position) {
     for (bool isChanged = true; isChanged;) {
       isChanged = false;
@@ -160,7 +161,7 @@
     return Io.Answers[client].back();
   }
 
-  /// Opens a transaction whose first write, WRITE x 1, is answered; gives the
+  /// Opens a transaction whose first write, WRITE x 1, is answered; returns the
   /// connection that holds it.
   ConnectionId beginTransaction(ClientId client) {
     ask(client, StatementKind::Begin, "BEGIN");
@@ -173,7 +174,7 @@
     return *carrier;
   }
 
-  /// Settles the first proofs and connections.
+  /// Completes the first position proofs and connections.
   void warmUp() {
     for (int i = 0; i < 10; ++i) {
       advance(milliseconds(100));
@@ -181,7 +182,7 @@
     }
   }
 
-  /// Lets the first reads open connections to the replicas.
+  /// Runs reads that open connections to the replicas.
   void connectReplicas() {
     warmUp();
     for (const char *text : {"READ u", "READ v", "READ w"}) {
--- a/src/proxy/tests/ProxyPrimaryTest.cpp
+++ b/src/proxy/tests/ProxyPrimaryTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A primary that can't be reached, has been replaced, or leaves.
+/// \file A primary that can't be reached, has been replaced, or is leaving.
 
 #include "proxy/tests/ProxyFixture.h"
 
@@ -20,7 +20,7 @@
   it.Core.setEntries({{"10.9.9.9", HallId("b")}});
   const auto client = it.connect("current");
   it.ask(client, StatementKind::Read, "READ x");
-  // No answer comes on the direct connections.
+  // No answer arrives on the direct connections.
   for (int i = 0; i < 8; ++i)
     it.advance(milliseconds(80));
   bool usesLender = false;
@@ -33,7 +33,7 @@
 TEST_CASE("Proxy_NewPrimaryIsFoundWithoutControl") {
   Fixture it;
   it.warmUp();
-  // The old primary refuses, and nobody tells of a successor.
+  // The old primary refuses, and no report names a successor.
   const auto client = it.connect("current");
   it.ask(client, StatementKind::Write, "WRITE x 1");
   const auto old = it.carrierOf("WRITE x 1");
@@ -82,9 +82,9 @@
 }
 
 TEST_CASE("Proxy_PrimaryWhoseAddressAnotherInstanceHasIsReportedAsLost") {
-  // It crashed and another one has its address. Once it was forgotten, nobody
-  // reported it, and its service had no primary until its record expired: 20 s
-  // on a simulated day, 1 s where it is reported.
+  // The primary crashed and another instance has its address. When the proxy
+  // removed its record, no VM reported it as silent, and its service had no
+  // primary until the record expired: 20 s instead of 1 s.
   Fixture it;
   it.warmUp();
   for (const auto &[id, target] : std::map(it.Io.Opened)) {
@@ -108,7 +108,7 @@
   REQUIRE(sights.size() == 1);
   CHECK(sights[0].Primary == InstanceId("p"));
   CHECK(sights[0].SilentFor >= milliseconds(600));
-  // Who borrows here hears that it can't be reached.
+  // A borrower gets the report that it can't be reached.
   BorrowRequest request;
   request.Service = "db";
   request.Instance = InstanceId("p");
--- a/src/proxy/tests/ProxyReadTest.cpp
+++ b/src/proxy/tests/ProxyReadTest.cpp
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Where single reads run, and which position they ask for.
+/// \file The instance that runs a single read, and the position that the read
+/// requires.
 
 #include "proxy/tests/ProxyFixture.h"
 
@@ -20,7 +21,7 @@
   it.warmUp();
   const auto client = it.connect("current");
   it.ask(client, StatementKind::Read, "READ x");
-  // The read itself must not go out before the lead is proved.
+  // The read must not be sent before the instance has proved that it leads.
   CHECK(!it.carrierOf("READ x"));
   it.answerOwn(markOf(3, 120));
   const auto carrier = it.carrierOf("READ x");
@@ -47,7 +48,7 @@
     }
   CHECK(!it.carrierOf("READ x"));
   CHECK(it.Io.Answers[client].empty());
-  // Nothing was run, so the refusal at the limit may say so.
+  // Nothing was run, so the refusal after the time limit may say so.
   for (int i = 0; i < 10; ++i)
     it.advance(milliseconds(100));
   CHECK(it.lastAnswer(client).Code == ReplyCode::Busy);
--- a/src/proxy/tests/ProxyStartTest.cpp
+++ b/src/proxy/tests/ProxyStartTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Where reads go while a VM that has just started knows no position of
-/// the primary yet.
+/// \file Where reads are sent while a VM that has just started has no position
+/// of the primary yet.
 
 #include "proxy/tests/ProxyFixture.h"
 
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Six clients come back at the same moment.
+/// Six clients send a read at the same moment.
 std::vector<std::string> askForReads(Fixture &it) {
   std::vector<std::string> texts;
   for (int i = 0; i < 6; ++i) {
@@ -99,7 +99,7 @@
   it.warmUp();
   it.Core.forgetProofs();
   const auto texts = askForReads(it);
-  // The first question stays without an answer.
+  // The first probe gets no answer.
   for (int i = 0; i < 20; ++i)
     it.advance(milliseconds(10));
   CHECK(beginsAt(it, "p") > 1);
--- a/src/proxy/tests/ProxyTest.cpp
+++ b/src/proxy/tests/ProxyTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Clients' sessions, the configuration they come under, and the order in
-/// which they are served.
+/// \file Client sessions, the configuration that applies to them, and the order
+/// in which they are served.
 
 #include "proxy/tests/ProxyFixture.h"
 
@@ -144,7 +144,7 @@
   CHECK(it.Io.Sent[*carrier].front().Kind == CommandKind::SetValue);
   it.answerOwn(markOf(3, 100));
   it.answer(*carrier, Fixture::replyAt(markOf(3, 101)));
-  // A client without that value must not find it on the same connection.
+  // A client without that value must not get it on the same connection.
   const auto second = it.connect("current");
   it.ask(second, StatementKind::Write, "WRITE y 1");
   const auto other = it.carrierOf("WRITE y 1");
@@ -176,7 +176,7 @@
 TEST_CASE("Proxy_NewestIsServedFirstUnderOverload") {
   Fixture it;
   it.warmUp();
-  // All connections to the primary are taken by clients that wait.
+  // Waiting clients occupy all connections to the primary.
   std::vector<ClientId> clients;
   for (int i = 0; i < 40; ++i) {
     clients.push_back(it.connect("current"));
--- a/src/proxy/tests/ProxyTransactionTest.cpp
+++ b/src/proxy/tests/ProxyTransactionTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Single writes and transactions: what is sent again, and what a client
-/// is told when a connection is lost.
+/// \file Single writes and transactions: what is sent again, and which reply a
+/// client gets when a connection is lost.
 
 #include "proxy/tests/ProxyFixture.h"
 
--- a/src/proxy/tests/RouteWorkTest.cpp
+++ b/src/proxy/tests/RouteWorkTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Slowness of an answer against what the route's statements usually
-/// take.
+/// \file Slowness of an answer relative to the usual time of the route's
+/// statements.
 
 #include "proxy/internal/RouteWork.h"
 
@@ -46,8 +46,8 @@
   RouteWork work;
   for (int i = 0; i < 100; ++i)
     work.note(routeOf("short"), milliseconds(10), NoQueue);
-  // Half a minute of an overload at which each statement takes half as long
-  // again.
+  // Half a minute of overload during which each statement takes 1.5 times as
+  // long.
   for (int i = 0; i < 600; ++i)
     work.note(routeOf("short"), milliseconds(15), 1.5);
   CHECK(work.slowness(routeOf("short"), milliseconds(15)) ==
--- a/src/proxy/types/ClientStatement.h
+++ b/src/proxy/types/ClientStatement.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a client of a connection session may ask for.
+/// \file A statement that a client sends in a connection session.
 
 #ifndef STEPLEDGE_PROXY_TYPES_CLIENTSTATEMENT_H
 #define STEPLEDGE_PROXY_TYPES_CLIENTSTATEMENT_H
@@ -27,13 +27,13 @@
 enum class AccessMode { Read, Write };
 
 struct ClientStatement {
-  /// The caller's own id, passed on unchanged.
+  /// The client's own id, passed on unchanged.
   std::string Id;
   StatementKind Kind = StatementKind::Malformed;
-  /// The whole text as it came; reads, writes and commits run with it.
+  /// The complete text as received; reads, writes and commits run with it.
   std::string Text;
-  /// The session value (Set) or prepared statement (Prepare, Execute,
-  /// Deallocate) that is meant.
+  /// The name of the session value (Set) or of the prepared statement (Prepare,
+  /// Execute, Deallocate).
   std::string Name;
   /// The value (Set), the statement's shape (Prepare) or its arguments
   /// (Execute).
--- a/src/proxy/types/InstanceCommand.h
+++ b/src/proxy/types/InstanceCommand.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What the proxy sends to an instance on one of its connections.
+/// \file A command that the proxy sends to an instance on a connection.
 
 #ifndef STEPLEDGE_PROXY_TYPES_INSTANCECOMMAND_H
 #define STEPLEDGE_PROXY_TYPES_INSTANCECOMMAND_H
@@ -23,7 +23,8 @@
   Prepare,
   /// A client's text, unchanged.
   ClientText,
-  /// A client's execution under the connection's own name of the statement.
+  /// A client's execution of a prepared statement, under the name that it has
+  /// on the connection.
   ClientExecute,
 };
 
@@ -37,8 +38,8 @@
   /// A value, a shape, or the arguments of an execution.
   std::string Value;
   AccessMode Mode = AccessMode::Read;
-  /// What a client's execution runs, for the VM that holds the connection and
-  /// so knows its names; Mode goes with it.
+  /// The prepared statement that a client's execution runs, together with Mode:
+  /// the VM that holds the connection looks up its name there.
   std::string Shape;
   std::string Text;
 };
--- a/src/proxy/types/SessionEnd.h
+++ b/src/proxy/types/SessionEnd.h
@@ -13,11 +13,11 @@
 namespace stepledge::proxy {
 
 enum class SessionEnd {
-  /// The VM hears neither control VMs nor primaries.
+  /// The VM is isolated: it receives nothing from control VMs or primaries.
   CutOff,
   /// The VM is being stopped.
   Stopping,
-  /// No configuration has come since the client did.
+  /// No configuration has arrived since the client connected.
   NoConfiguration,
   /// The client's key is no longer valid.
   KeyWithdrawn,
--- a/src/proxy/types/StatementReply.h
+++ b/src/proxy/types/StatementReply.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The whole answer to one statement, from an instance or to a client.
+/// \file The complete answer to one statement, from an instance or to a client.
 
 #ifndef STEPLEDGE_PROXY_TYPES_STATEMENTREPLY_H
 #define STEPLEDGE_PROXY_TYPES_STATEMENTREPLY_H
@@ -26,9 +26,9 @@
   Aborted,
   /// Not run: the instance's log is behind the position asked for.
   Lagging,
-  /// Not run: the instance is no primary.
+  /// Not run: the instance is not the primary.
   ReadOnly,
-  /// Not run: another instance lives at this address.
+  /// Not run: another instance has this address.
   WrongInstance,
   /// Not run: the instance's connections are used up.
   TooManyConnections,
@@ -43,7 +43,8 @@
   Malformed,
   /// Not run: no organisation has the client's key.
   Unauthorised,
-  /// A code that this version doesn't know; nothing is assumed of it.
+  /// A code that this version doesn't support; nothing is assumed about the
+  /// outcome.
   Other,
 };
 
@@ -70,7 +71,7 @@
   return nameIn(ReplyNames, code);
 }
 
-/// Whether \p code says that the statement itself did not run.
+/// Whether \p code means that the statement itself did not run.
 constexpr bool isNotRun(ReplyCode code) {
   switch (code) {
   case ReplyCode::Busy:
@@ -94,7 +95,7 @@
   /// The reason, for a refusal.
   std::string Detail;
   SessionState State = SessionState::Idle;
-  /// The end of the instance's log, where it told one.
+  /// The end of the instance's log, where it reported one.
   std::optional<Mark> Position;
 };
 
