--- a/src/proxy/Proxy.cpp
+++ b/src/proxy/Proxy.cpp
@@ -42,7 +42,7 @@
              IBorrowerIo &borrowers, quota::IOperationQuota &quota)
     : Options(std::move(options)), Io(io), Log(log), Quota(quota),
       Watch(Options.OwnIp, Options.OwnHall),
-      SecondTries(Options.SecondTryShare, Options.SecondTryReserve), Pool(io),
+      SecondTries(Options.SecondTryShare, Options.ReadRetryBurst), Pool(io),
       Homes(Options.OwnIp), Lending(*this, borrowers, log, Line) {}
 
 void Proxy::applyConfiguration(TimePoint now,
@@ -59,10 +59,10 @@
   reviewSessions(now);
   for (const auto &[name, service] : Configuration.Services)
     dispatchWaiting(now, name);
-  noteEarlyClients(now);
-  for (auto &it : std::exchange(Unconfigured, {})) {
+  logEarlyClients(now);
+  for (auto &it : std::exchange(EarlyClients, {})) {
     clientConnected(now, it.Client, it.Database, it.Key);
-    for (auto &statement : it.Asked)
+    for (auto &statement : it.Statements)
       clientAsked(now, it.Client, std::move(statement));
   }
 }
@@ -70,7 +70,7 @@
 void Proxy::applyInstance(TimePoint now,
                           const membership::InstanceRecord &record) {
   if (tracker(record.Service).update(now, record))
-    dropEarlierLife(now, record);
+    dropEarlierIncarnation(now, record);
   if (record.State == InstanceState::Gone) {
     std::vector<ConnectionId> unused;
     for (const auto &[id, it] : Pool.all())
@@ -82,8 +82,8 @@
   dispatchWaiting(now, record.Service);
 }
 
-void Proxy::dropEarlierLife(TimePoint now,
-                            const membership::InstanceRecord &record) {
+void Proxy::dropEarlierIncarnation(TimePoint now,
+                                   const membership::InstanceRecord &record) {
   Log.decision(
       absl::StrCat("event=instance_restarted instance=", record.Id.str(),
                    " service=", record.Service, " born_ms=", record.BornMs));
@@ -107,10 +107,10 @@
 
 void Proxy::clientConnected(TimePoint now, ClientId client,
                             const DatabaseId &database, const KeyDigest &key) {
-  if (IsClosing)
+  if (IsShuttingDown)
     return endWithRefusal(now, client, SessionEnd::Stopping);
   if (!isConfigured()) {
-    Unconfigured.push_back({client, database, key, now, {}});
+    EarlyClients.push_back({client, database, key, now, {}});
     return;
   }
   const auto route = Configuration.Routes.find(database);
@@ -128,7 +128,7 @@
                               " database=", database.str(),
                               " code=", std::string(nameOf(reply.Code)),
                               " config=", Configuration.Version));
-    Ended[client] = SessionEnd::NotAccepted;
+    EndedSessions[client] = SessionEnd::NotAccepted;
     Io.rejectClient(client, reply);
     return;
   }
@@ -144,21 +144,21 @@
 void Proxy::clientAsked(TimePoint now, ClientId client,
                         ClientStatement statement) {
   const auto early =
-      std::find_if(Unconfigured.begin(), Unconfigured.end(),
+      std::find_if(EarlyClients.begin(), EarlyClients.end(),
                    [&](const auto &it) { return it.Client == client; });
-  if (early != Unconfigured.end()) {
-    early->Asked.push_back(std::move(statement));
-    if (early->Asked.size() > Options.EarlyStatements)
+  if (early != EarlyClients.end()) {
+    early->Statements.push_back(std::move(statement));
+    if (early->Statements.size() > Options.MaxEarlyStatements)
       endWithRefusal(now, client, SessionEnd::NoConfiguration);
     return;
   }
   auto *it = session(client);
   if (!it)
-    return noteUnanswered(client, statement);
+    return logUnanswered(client, statement);
   it->LastActive = now;
   it->Queue.push_back(std::move(statement));
   handleNext(now, *it);
-  endIfSentAway(now, client);
+  endIfMustReconnect(now, client);
 }
 
 ClientSession *Proxy::session(ClientId client) {
@@ -198,7 +198,7 @@
   const StatementKind kind = statement.Kind;
   if (kind == StatementKind::Rollback)
     return handleRollback(now, session);
-  if (session.IsWithdrawn)
+  if (session.IsKeyWithdrawn)
     return refuse(now, session, ReplyCode::Unauthorised, UnknownKey);
   if (session.State == SessionState::Failed) {
     if (kind == StatementKind::Commit) {
@@ -207,11 +207,11 @@
       return refuse(now, session, ReplyCode::Aborted,
                     "the transaction had failed and is rolled back");
     }
-    const bool untold = std::exchange(session.WasAbortedAtRest, false);
-    return refuse(now, session,
-                  untold ? ReplyCode::Aborted : ReplyCode::Malformed,
-                  untold ? "the transaction was rolled back while it rested"
-                         : "the transaction has failed; roll it back");
+    const bool isUnreported = std::exchange(session.WasAbortedAtRest, false);
+    return refuse(
+        now, session, isUnreported ? ReplyCode::Aborted : ReplyCode::Malformed,
+        isUnreported ? "the transaction was rolled back while it rested"
+                     : "the transaction has failed; roll it back");
   }
   if (kind == StatementKind::Malformed)
     return refuse(now, session, ReplyCode::Malformed, "not understood");
@@ -262,8 +262,8 @@
   session.WasAbortedAtRest = false;
   const ClientId id = session.Id;
   Io.answerClient(id, localSuccess(SessionState::Idle));
-  endIfWithdrawn(now, id);
-  endIfSentAway(now, id);
+  endIfKeyWithdrawn(now, id);
+  endIfMustReconnect(now, id);
 }
 
 void Proxy::startWork(TimePoint now, ClientSession &session,
@@ -299,7 +299,7 @@
   Watch.noteUse(now, route->Service);
   if (Waiting[route->Service].size() >= Options.QueueLength)
     return refuse(now, session, ReplyCode::Busy, "the queue is full");
-  Work work;
+  PendingStatement work;
   work.Mode = statement.Mode;
   work.ArrivedAt = now;
   const bool hasTimeout = route->StatementTimeout > Duration{};
@@ -325,8 +325,8 @@
   Io.answerClient(session.Id, reply);
   const ClientId id = session.Id;
   handleNext(now, session);
-  endIfWithdrawn(now, id);
-  endIfSentAway(now, id);
+  endIfKeyWithdrawn(now, id);
+  endIfMustReconnect(now, id);
 }
 
 void Proxy::refuse(TimePoint now, ClientSession &session, ReplyCode code,
@@ -335,7 +335,7 @@
     releasePinned(now, session);
     session.State = SessionState::Failed;
   }
-  session.IsTurnedAway |= IsIsolated;
+  session.MustReconnect |= IsIsolated;
   StatementReply reply;
   reply.Code = code;
   reply.Detail = detail;
@@ -376,20 +376,20 @@
 }
 
 std::vector<PrimarySight> Proxy::primarySights(TimePoint now) {
-  std::vector<PrimarySight> sights;
+  std::vector<PrimarySight> observations;
   for (const auto &service : Watch.watched(now)) {
     auto &instances = tracker(service);
     const auto primary = instances.primary(now);
     if (!primary)
       continue;
     const auto *instance = instances.find(*primary);
-    PrimarySight sight{service, *primary,
-                       instance ? instance->Record.BornMs : 0, Duration{}};
+    PrimarySight observation{
+        service, *primary, instance ? instance->Record.BornMs : 0, Duration{}};
     if (instance && instance->SilentSince)
-      sight.SilentFor = now - *instance->SilentSince;
-    sights.push_back(std::move(sight));
+      observation.SilentFor = now - *instance->SilentSince;
+    observations.push_back(std::move(observation));
   }
-  return sights;
+  return observations;
 }
 
 } // namespace stepledge::proxy
--- a/src/proxy/Proxy.h
+++ b/src/proxy/Proxy.h
@@ -72,7 +72,7 @@
   void setIsolated(bool isIsolated) { IsIsolated = isIsolated; }
   /// Starts the shutdown: new clients are refused, and each session ends after
   /// its next answer.
-  void beginToClose() { IsClosing = true; }
+  void beginToClose() { IsShuttingDown = true; }
   /// Set while nothing is received from a control VM that has a majority.
   void setControlLost(bool isLost) { IsControlLost = isLost; }
   /// Serves the VMs that borrow connections from this one.
@@ -139,10 +139,11 @@
   /// to the new incarnation that was opened before its record arrived is closed
   /// too, which costs one reconnect; a connection to the earlier incarnation is
   /// never used.
-  void dropEarlierLife(TimePoint now, const membership::InstanceRecord &record);
+  void dropEarlierIncarnation(TimePoint now,
+                              const membership::InstanceRecord &record);
   ClientSession *session(ClientId client);
   /// Ends an idle session whose client should connect to another VM.
-  void endIfSentAway(TimePoint now, ClientId client);
+  void endIfMustReconnect(TimePoint now, ClientId client);
   /// Ends the session, which waits for no answer, and closes its connection.
   void endSession(TimePoint now, ClientId client, SessionEnd reason);
   /// Ends the session, or the connection of a client that has none yet, with a
@@ -150,13 +151,13 @@
   /// run.
   void endWithRefusal(TimePoint now, ClientId client, SessionEnd reason);
   /// Removes the client's session and all other state of the client.
-  void forgetClient(TimePoint now, ClientId client);
+  void removeClient(TimePoint now, ClientId client);
   /// Logs the statement, if any, that a disconnecting client still waits for.
-  void noteGivenUp(TimePoint now, ClientId client);
+  void logAbandonedStatement(TimePoint now, ClientId client);
   /// Logs how many clients waited for the first configuration, and how long.
-  void noteEarlyClients(TimePoint now);
+  void logEarlyClients(TimePoint now);
   /// Logs a statement that arrived after its session's end and gets no answer.
-  void noteUnanswered(ClientId client, const ClientStatement &statement);
+  void logUnanswered(ClientId client, const ClientStatement &statement);
   /// The organisation whose client presents \p key; none if the route requires
   /// a key and \p key isn't a valid one.
   std::optional<OrganisationId> organisationOf(const control::Route &route,
@@ -168,11 +169,11 @@
   void reviewSessions(TimePoint now);
   void reviewSession(TimePoint now, ClientSession &session);
   /// The client's key is no longer valid: no further statement of it is run.
-  void withdraw(TimePoint now, ClientSession &session);
+  void withdrawKey(TimePoint now, ClientSession &session);
   /// For a session with a withdrawn key and no pending statement: rolls back
   /// its open transaction, and ends the session once it is outside a
   /// transaction.
-  void endIfWithdrawn(TimePoint now, ClientId client);
+  void endIfKeyWithdrawn(TimePoint now, ClientId client);
   InstanceTracker &tracker(const std::string &service);
   const control::Route *routeOf(const ClientSession &session) const;
   int usableConnections(const std::string &service) const;
@@ -347,8 +348,8 @@
                      const StatementReply &reply, TimePoint sentAt);
   /// Updates the usual time of the route's statements, and the estimate of how
   /// congested the instance is.
-  void noteWork(TimePoint now, const ClientSession &session,
-                const InstanceId &instance, Duration took);
+  void noteStatementTime(TimePoint now, const ClientSession &session,
+                         const InstanceId &instance, Duration took);
   /// A read outside of a transaction that replicas may run.
   static bool isSharedRead(const ClientSession &session);
   /// Counts a read that the instance failed, refused or did not answer.
@@ -356,16 +357,18 @@
                        const InstanceId &instance);
   /// Logs which instances have become outliers, and which no longer are.
   void reviewOutliers(TimePoint now);
-  void singleAnswered(TimePoint now, ClientSession &session,
-                      const InstanceId &instance, StatementReply reply);
-  void transactionAnswered(TimePoint now, ClientSession &session,
-                           const InstanceId &instance, StatementReply reply);
+  void singleStatementAnswered(TimePoint now, ClientSession &session,
+                               const InstanceId &instance,
+                               StatementReply reply);
+  void transactionStatementAnswered(TimePoint now, ClientSession &session,
+                                    const InstanceId &instance,
+                                    StatementReply reply);
   void wait(ClientSession &session, TimePoint notBefore);
   void stopWaiting(ClientSession &session);
   void notRun(TimePoint now, ClientSession &session, ReplyCode code,
               const InstanceId &instance);
-  void noteSuccess(ClientSession &session, const InstanceId &instance,
-                   const StatementReply &reply, TimePoint sentAt);
+  void noteCommit(ClientSession &session, const InstanceId &instance,
+                  const StatementReply &reply, TimePoint sentAt);
   /// How long a statement that isn't sent yet may wait.
   Duration queueLimit(TimePoint now, const ClientSession &session);
   void expireWork(TimePoint now, ClientSession &session);
@@ -384,8 +387,8 @@
   /// sent to.
   bool isWorthMoving(TimePoint now, const ClientSession &session);
   void moveSlowStatement(TimePoint now, ClientSession &session);
-  void lostWork(TimePoint now, ClientSession &session,
-                const InstanceId &instance);
+  void handleLostStatement(TimePoint now, ClientSession &session,
+                           const InstanceId &instance);
 
   void answer(TimePoint now, ClientSession &session, StatementReply reply);
   void refuse(TimePoint now, ClientSession &session, ReplyCode code,
@@ -436,7 +439,7 @@
   std::map<ClientId, ClientSession> Sessions;
   /// Clients that this VM refused, or whose session it has ended, and that have
   /// not closed their side yet: their statements get no answer.
-  std::map<ClientId, SessionEnd> Ended;
+  std::map<ClientId, SessionEnd> EndedSessions;
   /// A client that connected before the first configuration and waits for it.
   struct EarlyClient {
     ClientId Client;
@@ -444,9 +447,9 @@
     KeyDigest Key;
     TimePoint ConnectedAt{};
     /// The statements that it has sent meanwhile.
-    std::vector<ClientStatement> Asked;
+    std::vector<ClientStatement> Statements;
   };
-  std::vector<EarlyClient> Unconfigured;
+  std::vector<EarlyClient> EarlyClients;
   scheduling::ServingLine Line;
   overload::WaitPolicy Patience;
   RouteWork UsualWork;
@@ -460,7 +463,7 @@
   TimePoint StartedAt{};
   bool IsIsolated = false;
   bool IsControlLost = false;
-  bool IsClosing = false;
+  bool IsShuttingDown = false;
   membership::HomeTable Homes;
   Lender Lending;
   /// By instance, the lenders that failed or had no free connection, and until
--- a/src/proxy/internal/Access.cpp
+++ b/src/proxy/internal/Access.cpp
@@ -42,11 +42,11 @@
   if (route == Configuration.Routes.end())
     return;
   const auto organisation = organisationOf(route->second, session.Key);
-  if (!organisation && session.IsWithdrawn)
+  if (!organisation && session.IsKeyWithdrawn)
     return;
   if (!organisation)
-    return withdraw(now, session);
-  session.IsWithdrawn = false;
+    return withdrawKey(now, session);
+  session.IsKeyWithdrawn = false;
   if (*organisation == session.Organisation)
     return;
   session.Organisation = *organisation;
@@ -64,8 +64,8 @@
   session.WasAbortedAtRest = true;
 }
 
-void Proxy::withdraw(TimePoint now, ClientSession &session) {
-  session.IsWithdrawn = true;
+void Proxy::withdrawKey(TimePoint now, ClientSession &session) {
+  session.IsKeyWithdrawn = true;
   Log.decision(absl::StrCat("event=key_withdrawn client=", session.Id.Number,
                             " organisation=", session.Organisation.str(),
                             " config=", Configuration.Version));
@@ -80,12 +80,12 @@
   if (session.Current)
     return refuse(now, session, ReplyCode::Unauthorised,
                   "the key was taken away");
-  endIfWithdrawn(now, id);
+  endIfKeyWithdrawn(now, id);
 }
 
-void Proxy::endIfWithdrawn(TimePoint now, ClientId client) {
+void Proxy::endIfKeyWithdrawn(TimePoint now, ClientId client) {
   auto *it = session(client);
-  if (!it || !it->IsWithdrawn || it->Current || !it->Queue.empty())
+  if (!it || !it->IsKeyWithdrawn || it->Current || !it->Queue.empty())
     return;
   if (it->State == SessionState::InTransaction) {
     releasePinned(now, *it);
--- a/src/proxy/internal/Answers.cpp
+++ b/src/proxy/internal/Answers.cpp
@@ -16,13 +16,13 @@
 namespace {
 
 /// The maximum number of times a read that instances fail is sent.
-constexpr int MostReadTries = 2;
+constexpr int MaxReadSends = 2;
 /// The maximum number of times a statement is sent if lost connections roll it
 /// back.
-constexpr int MostSendings = 3;
+constexpr int MaxSends = 3;
 /// The largest factor by which the pause before a retry at the same instance
 /// grows.
-constexpr int MostPauseFactor = 6;
+constexpr int MaxPauseFactor = 6;
 
 } // namespace
 
@@ -58,8 +58,9 @@
       " service=", service, " code=", std::string(nameOf(reply.Code))));
   Pool.close(connection);
   const bool isAlone = Pool.ownAt(instance) == 0;
-  Pool.refuseUntil(
-      instance, now + (isAlone ? Options.FullPauseAlone : Options.FullPause));
+  Pool.refuseUntil(instance,
+                   now + (isAlone ? Options.FullInstancePauseUnconnected
+                                  : Options.FullInstancePause));
   if (reply.Code != ReplyCode::WrongInstance)
     return;
   auto &instances = tracker(service);
@@ -147,11 +148,12 @@
                           InstanceConnection &connection,
                           const StatementReply &reply, TimePoint sentAt) {
   const InstanceId instance = connection.Instance;
-  const bool isOthers = connection.Organisation != session.Organisation;
-  if (session.IsWithdrawn || isOthers) {
+  const bool hasOtherOrganisation =
+      connection.Organisation != session.Organisation;
+  if (session.IsKeyWithdrawn || hasOtherOrganisation) {
     connection.giveUp();
     rollBack(now, connection);
-    return session.IsWithdrawn
+    return session.IsKeyWithdrawn
                ? refuse(now, session, ReplyCode::Unauthorised,
                         "the key was taken away")
                : notRun(now, session, ReplyCode::Aborted, instance);
@@ -183,17 +185,18 @@
   const InstanceId instance = connection.Instance;
   const TimePoint sentAt = session.Current->SentAt;
   if (reply.Code == ReplyCode::Success) {
-    noteSuccess(session, instance, reply, sentAt);
-    noteWork(now, session, instance, now - sentAt);
+    noteCommit(session, instance, reply, sentAt);
+    noteStatementTime(now, session, instance, now - sentAt);
   }
   if (session.State == SessionState::InTransaction)
-    return transactionAnswered(now, session, instance, std::move(reply));
+    return transactionStatementAnswered(now, session, instance,
+                                        std::move(reply));
   connection.Owner.reset();
   if (connection.Sent.empty())
     freeConnection(now, connection);
   else
     connection.IsAbandoned = true;
-  singleAnswered(now, session, instance, std::move(reply));
+  singleStatementAnswered(now, session, instance, std::move(reply));
 }
 
 bool Proxy::isSharedRead(const ClientSession &session) {
@@ -209,8 +212,8 @@
     instances.outliers().noteFailure(now, instance);
 }
 
-void Proxy::noteWork(TimePoint now, const ClientSession &session,
-                     const InstanceId &instance, Duration took) {
+void Proxy::noteStatementTime(TimePoint now, const ClientSession &session,
+                              const InstanceId &instance, Duration took) {
   auto &instances = tracker(session.Route.Service);
   auto *known = instances.find(instance);
   // NOTE: commits and statements of transactions take a different time than
@@ -226,8 +229,9 @@
   UsualWork.note(session.Route, took, known->Running.congestion());
 }
 
-void Proxy::singleAnswered(TimePoint now, ClientSession &session,
-                           const InstanceId &instance, StatementReply reply) {
+void Proxy::singleStatementAnswered(TimePoint now, ClientSession &session,
+                                    const InstanceId &instance,
+                                    StatementReply reply) {
   auto &work = *session.Current;
   if (reply.Code == ReplyCode::Success)
     return answer(now, session, std::move(reply));
@@ -237,15 +241,15 @@
     noteReadFailure(now, session, instance);
   const bool failedRead = reply.Code == ReplyCode::Failed &&
                           work.Mode == AccessMode::Read &&
-                          work.Sendings < MostReadTries;
+                          work.Sendings < MaxReadSends;
   if (isNotRun(reply.Code) || failedRead)
     return notRun(now, session, reply.Code, instance);
   refuse(now, session, reply.Code, reply.Detail);
 }
 
-void Proxy::transactionAnswered(TimePoint now, ClientSession &session,
-                                const InstanceId &instance,
-                                StatementReply reply) {
+void Proxy::transactionStatementAnswered(TimePoint now, ClientSession &session,
+                                         const InstanceId &instance,
+                                         StatementReply reply) {
   auto &work = *session.Current;
   const bool isCommit = work.Statement.Kind == StatementKind::Commit;
   if (reply.Code == ReplyCode::Success) {
@@ -277,8 +281,8 @@
   refuse(now, session, reply.Code, reply.Detail);
 }
 
-void Proxy::noteSuccess(ClientSession &session, const InstanceId &instance,
-                        const StatementReply &reply, TimePoint sentAt) {
+void Proxy::noteCommit(ClientSession &session, const InstanceId &instance,
+                       const StatementReply &reply, TimePoint sentAt) {
   const auto &work = *session.Current;
   const bool isCommit = work.Statement.Kind == StatementKind::Commit;
   const bool isSingleWrite =
@@ -297,11 +301,11 @@
   work.Connection.reset();
   // NOTE: the lender refused before the instance was asked, and another path to
   // the instance may be free.
-  const bool isLenders = std::exchange(work.IsRefusedByLender, false);
+  const bool isLenderRefusal = std::exchange(work.IsRefusedByLender, false);
   auto &instances = tracker(session.Route.Service);
   if (code == ReplyCode::Lagging && work.Minimum)
     instances.noteBehind(now, instance, *work.Minimum);
-  else if (!isLenders)
+  else if (!isLenderRefusal)
     work.Tried.insert(instance);
   work.LastRefusal =
       absl::StrCat("instance ", instance.str(), " refused with code ",
@@ -312,8 +316,8 @@
   Log.retried(code);
   if (code == ReplyCode::ReadOnly)
     instances.noteDeniedLead(now, instance);
-  const int factor = std::min(work.Sendings, MostPauseFactor);
-  const bool mustPause = work.PrimaryOnly && !isLenders;
+  const int factor = std::min(work.Sendings, MaxPauseFactor);
+  const bool mustPause = work.PrimaryOnly && !isLenderRefusal;
   work.NotBefore = mustPause ? now + Options.RetryPause * factor : now;
   dispatch(now, session);
 }
@@ -345,7 +349,7 @@
   if (owner->Current && owner->Current->Connection == connection) {
     if (!lost.isBorrowed())
       noteReadFailure(now, *owner, lost.Instance);
-    return lostWork(now, *owner, lost.Instance);
+    return handleLostStatement(now, *owner, lost.Instance);
   }
   if (owner->Pinned == connection) {
     owner->Pinned.reset();
@@ -359,8 +363,8 @@
   }
 }
 
-void Proxy::lostWork(TimePoint now, ClientSession &session,
-                     const InstanceId &instance) {
+void Proxy::handleLostStatement(TimePoint now, ClientSession &session,
+                                const InstanceId &instance) {
   auto &work = *session.Current;
   const bool wasSent = work.Stage == WorkStage::Sent;
   const bool isOpen = session.State == SessionState::InTransaction;
@@ -380,7 +384,7 @@
   if (wasSent && !isOpen && work.Mode == AccessMode::Write)
     return refuse(now, session, ReplyCode::OutcomeUnknown,
                   "the connection broke during the write");
-  if (work.Sendings >= MostSendings)
+  if (work.Sendings >= MaxSends)
     return refuse(now, session, ReplyCode::Aborted,
                   "the connections to the instances broke");
   notRun(now, session, ReplyCode::Aborted, instance);
--- a/src/proxy/internal/ClientSession.h
+++ b/src/proxy/internal/ClientSession.h
@@ -26,7 +26,7 @@
 };
 
 /// A client's statement that an instance has to run.
-struct Work {
+struct PendingStatement {
   ClientStatement Statement;
   AccessMode Mode = AccessMode::Read;
   WorkStage Stage = WorkStage::Waiting;
@@ -64,7 +64,7 @@
   /// The client's organisation, whose connections alone carry its statements.
   OrganisationId Organisation;
   /// The client's key has been withdrawn.
-  bool IsWithdrawn = false;
+  bool IsKeyWithdrawn = false;
   SessionValues Values;
   std::map<std::string, PreparedShape> Prepared;
   SessionState State = SessionState::Idle;
@@ -85,15 +85,15 @@
   bool WasAbortedAtRest = false;
   /// A statement was refused while the VM was isolated; the session ends once
   /// it is idle.
-  bool IsTurnedAway = false;
+  bool MustReconnect = false;
   /// The position of this session's newest commit.
   std::optional<Mark> LastCommit;
-  std::optional<Work> Current;
+  std::optional<PendingStatement> Current;
   std::deque<ClientStatement> Queue;
   TimePoint LastActive{};
 
   /// No statement is pending and no transaction is open.
-  bool isAtRest() const {
+  bool isIdle() const {
     return State == SessionState::Idle && !Current && Queue.empty();
   }
 };
--- a/src/proxy/internal/RouteWork.cpp
+++ b/src/proxy/internal/RouteWork.cpp
@@ -13,13 +13,13 @@
 /// Samples count only while the instance takes less than this many times its
 /// usual time. With 1.7 the answers of a primary at capacity became the usual
 /// ones within some seconds, and no more reads were shed from it.
-constexpr double MostUncongested = 1.2;
+constexpr double MaxUncongestedRatio = 1.2;
 
 } // namespace
 
 void RouteWork::note(const control::Route &route, Duration took,
                      double congestion) {
-  if (congestion >= MostUncongested)
+  if (congestion >= MaxUncongestedRatio)
     return;
   const double sample = toMilliseconds(took);
   const auto [it, isNew] = Usual.try_emplace(route.Database, sample);
--- a/src/proxy/internal/SessionEnds.cpp
+++ b/src/proxy/internal/SessionEnds.cpp
@@ -37,14 +37,14 @@
 } // namespace
 
 void Proxy::clientLeft(TimePoint now, ClientId client) {
-  noteGivenUp(now, client);
-  forgetClient(now, client);
+  logAbandonedStatement(now, client);
+  removeClient(now, client);
 }
 
-void Proxy::forgetClient(TimePoint now, ClientId client) {
-  std::erase_if(Unconfigured,
+void Proxy::removeClient(TimePoint now, ClientId client) {
+  std::erase_if(EarlyClients,
                 [&](const auto &it) { return it.Client == client; });
-  Ended.erase(client);
+  EndedSessions.erase(client);
   auto *it = session(client);
   if (!it)
     return;
@@ -62,10 +62,10 @@
                             " reason=", std::string(nameOf(reason)),
                             " unanswered=", unanswered));
   Log.sessionEnded(reason);
-  forgetClient(now, client);
+  removeClient(now, client);
 }
 
-void Proxy::noteGivenUp(TimePoint now, ClientId client) {
+void Proxy::logAbandonedStatement(TimePoint now, ClientId client) {
   const auto *it = session(client);
   if (!it || !it->Current)
     return;
@@ -81,23 +81,23 @@
 }
 
 void Proxy::endSession(TimePoint now, ClientId client, SessionEnd reason) {
-  forgetClient(now, client);
-  Ended[client] = reason;
+  removeClient(now, client);
+  EndedSessions[client] = reason;
   Log.sessionEnded(reason);
   Io.closeClient(client);
 }
 
 void Proxy::endWithRefusal(TimePoint now, ClientId client, SessionEnd reason) {
-  forgetClient(now, client);
-  Ended[client] = reason;
+  removeClient(now, client);
+  EndedSessions[client] = reason;
   Log.sessionEnded(reason);
   Io.rejectClient(client, refusalOf(reason));
 }
 
-void Proxy::noteUnanswered(ClientId client, const ClientStatement &statement) {
-  const auto ended = Ended.find(client);
-  const std::string reason(ended == Ended.end() ? "no_session"
-                                                : nameOf(ended->second));
+void Proxy::logUnanswered(ClientId client, const ClientStatement &statement) {
+  const auto ended = EndedSessions.find(client);
+  const std::string reason(
+      ended == EndedSessions.end() ? "no_session" : nameOf(ended->second));
   Log.decision(
       absl::StrCat("event=statement_unanswered client=", client.Number,
                    " request=", statement.Id.empty() ? "-" : statement.Id,
@@ -105,42 +105,42 @@
   Log.unanswered(reason);
 }
 
-void Proxy::endIfSentAway(TimePoint now, ClientId client) {
+void Proxy::endIfMustReconnect(TimePoint now, ClientId client) {
   const auto *it = session(client);
-  if (!it || !it->isAtRest())
+  if (!it || !it->isIdle())
     return;
-  if (IsClosing)
+  if (IsShuttingDown)
     return endSession(now, client, SessionEnd::Stopping);
-  if (it->IsTurnedAway)
-    endSession(now, client, SessionEnd::CutOff);
+  if (it->MustReconnect)
+    endSession(now, client, SessionEnd::Isolated);
 }
 
 void Proxy::closeIdleSessions(TimePoint now, Duration atLeast) {
   std::vector<ClientId> idle;
   for (const auto &[id, it] : Sessions)
-    if (it.isAtRest() && now - it.LastActive >= atLeast)
+    if (it.isIdle() && now - it.LastActive >= atLeast)
       idle.push_back(id);
   for (const auto id : idle)
     endWithRefusal(now, id, SessionEnd::Stopping);
 }
 
-void Proxy::noteEarlyClients(TimePoint now) {
-  if (Unconfigured.empty())
+void Proxy::logEarlyClients(TimePoint now) {
+  if (EarlyClients.empty())
     return;
-  std::size_t asked = 0;
-  for (const auto &it : Unconfigured)
-    asked += it.Asked.size();
+  std::size_t statements = 0;
+  for (const auto &it : EarlyClients)
+    statements += it.Statements.size();
   // NOTE: the first client has waited longest.
   Log.decision(absl::StrCat(
-      "event=early_clients clients=", Unconfigured.size(),
-      " statements=", asked,
-      " longest_ms=", toMilliseconds(now - Unconfigured.front().ConnectedAt)));
+      "event=early_clients clients=", EarlyClients.size(),
+      " statements=", statements,
+      " longest_ms=", toMilliseconds(now - EarlyClients.front().ConnectedAt)));
 }
 
 void Proxy::dropEarlyClients(TimePoint now) {
   std::vector<ClientId> late;
-  for (const auto &it : Unconfigured)
-    if (IsClosing || now - it.ConnectedAt > Options.EarlyClientLimit)
+  for (const auto &it : EarlyClients)
+    if (IsShuttingDown || now - it.ConnectedAt > Options.EarlyClientTimeout)
       late.push_back(it.Client);
   for (const auto it : late)
     endWithRefusal(now, it, SessionEnd::NoConfiguration);
--- a/src/proxy/tests/OrganisationFixture.h
+++ b/src/proxy/tests/OrganisationFixture.h
@@ -14,26 +14,26 @@
 
 /// Organisations red, blue and green; the key of each is its name plus "-key".
 struct OrganisationFixture : ProxyFixture {
-  OrganisationFixture() : Next(Core.configuration()) {
-    Next.HasOrganisations = true;
+  OrganisationFixture() : NextConfiguration(Core.configuration()) {
+    NextConfiguration.HasOrganisations = true;
     for (const char *name : {"red", "blue", "green"}) {
-      auto &it = Next.Organisations[OrganisationId(name)];
+      auto &it = NextConfiguration.Organisations[OrganisationId(name)];
       it.Id = OrganisationId(name);
       it.Keys = {KeyDigest::of(std::string(name) + "-key")};
     }
-    applyNext();
+    applyNextConfiguration();
     warmUp();
   }
 
-  void applyNext() {
-    ++Next.Version;
-    Core.applyConfiguration(Now, Next);
+  void applyNextConfiguration() {
+    ++NextConfiguration.Version;
+    Core.applyConfiguration(Now, NextConfiguration);
     connectAll();
   }
 
   void removeKey(const char *organisation) {
-    Next.Organisations[OrganisationId(organisation)].Keys.clear();
-    applyNext();
+    NextConfiguration.Organisations[OrganisationId(organisation)].Keys.clear();
+    applyNextConfiguration();
   }
 
   ClientId connectWith(const char *database, const std::string &key) {
@@ -69,8 +69,8 @@
     return n;
   }
 
-  /// The configuration that applyNext() applies.
-  control::Configuration Next;
+  /// The configuration that applyNextConfiguration() applies.
+  control::Configuration NextConfiguration;
 };
 
 } // namespace stepledge::proxy::tests
--- a/src/proxy/tests/OrganisationTest.cpp
+++ b/src/proxy/tests/OrganisationTest.cpp
@@ -25,8 +25,8 @@
 
 TEST_CASE("Organisation_PublicRouteAsksForNoKey") {
   OrganisationFixture it;
-  it.Next.Routes[DatabaseId("current")].IsPublic = true;
-  it.applyNext();
+  it.NextConfiguration.Routes[DatabaseId("current")].IsPublic = true;
+  it.applyNextConfiguration();
   const auto client = it.connectWith("current", "nobody's");
   CHECK(it.Io.Accepted.contains(client));
   it.ask(client, StatementKind::Write, "WRITE x 1");
@@ -56,8 +56,8 @@
 TEST_CASE("Organisation_ItsConnectionMakesRoomForOthers") {
   OrganisationFixture it;
   // This VM may have one connection to each instance.
-  it.Next.Services["db"].MaxConnections = 1;
-  it.applyNext();
+  it.NextConfiguration.Services["db"].MaxConnections = 1;
+  it.applyNextConfiguration();
   for (const char *name : {"red", "blue", "green", "red"}) {
     const std::string text = std::string("WRITE by ") + name;
     it.ask(it.connectWith("current", std::string(name) + "-key"),
@@ -137,9 +137,9 @@
   const auto red = it.connectWith("current", "red-key");
   it.beginTransaction(red);
   it.removeKey("red");
-  it.Next.Organisations[OrganisationId("red")].Keys = {
+  it.NextConfiguration.Organisations[OrganisationId("red")].Keys = {
       KeyDigest::of("red-key")};
-  it.applyNext();
+  it.applyNextConfiguration();
   it.answerOwn(markOf(3, 100));
   it.ask(red, StatementKind::Rollback, "ROLLBACK");
   CHECK_FALSE(it.Io.Rejected.contains(red));
@@ -151,10 +151,10 @@
   const auto client = it.connectWith("current", "red-key");
   const auto before = it.beginTransaction(client);
   CHECK(it.Io.Opened.at(before).Organisation == OrganisationId("red"));
-  it.Next.Organisations[OrganisationId("red")].Keys.clear();
-  it.Next.Organisations[OrganisationId("blue")].Keys.insert(
+  it.NextConfiguration.Organisations[OrganisationId("red")].Keys.clear();
+  it.NextConfiguration.Organisations[OrganisationId("blue")].Keys.insert(
       KeyDigest::of("red-key"));
-  it.applyNext();
+  it.applyNextConfiguration();
   it.answerOwn(markOf(3, 100));
   it.ask(client, StatementKind::Write, "WRITE x 2");
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
@@ -184,8 +184,8 @@
 
 TEST_CASE("Organisation_ExhaustedQuotaIsRefusedAtOnceWithATimeToComeBack") {
   OrganisationFixture it;
-  it.Next.Routes[DatabaseId("current")].Priority = 3;
-  it.applyNext();
+  it.NextConfiguration.Routes[DatabaseId("current")].Priority = 3;
+  it.applyNextConfiguration();
   const auto red = it.connectWith("current", "red-key");
   it.Quota.Verdict = quota::QuotaVerdict::Exhausted;
   it.ask(red, StatementKind::Write, "WRITE x 1");
@@ -239,8 +239,8 @@
 /// Forty VMs in two halls share instances that allow 29 connections; this VM is
 /// not a home.
 void shareWithFortyVms(OrganisationFixture &it) {
-  it.Next.Services["db"].MaxConnections = 29;
-  it.applyNext();
+  it.NextConfiguration.Services["db"].MaxConnections = 29;
+  it.applyNextConfiguration();
   std::vector<membership::EntryVm> entries;
   for (int i = 1; i <= 40; ++i)
     entries.push_back(
@@ -249,8 +249,8 @@
 }
 
 /// The lenders that a write asks in turn; none has a free connection.
-std::set<std::string> askedForAWrite(OrganisationFixture &it,
-                                     const char *text) {
+std::set<std::string> lendersAskedForWrite(OrganisationFixture &it,
+                                           const char *text) {
   std::set<std::string> asked;
   it.ask(it.connectWith("current", "red-key"), StatementKind::Write, text);
   for (int i = 0; i < 60; ++i) {
@@ -271,7 +271,7 @@
 
 /// Requests a borrow from this VM, which is not a home; true if it opens a
 /// connection.
-bool opensForABorrower(OrganisationFixture &it, std::uint64_t use) {
+bool opensForBorrower(OrganisationFixture &it, std::uint64_t number) {
   for (const auto &[id, target] : std::map(it.Io.Opened))
     if (target.Instance == InstanceId("p"))
       it.Core.connectionLost(it.Now, id);
@@ -284,7 +284,7 @@
   request.Organisation = OrganisationId("blue");
   request.IsFirst = true;
   request.Commands = {InstanceCommand()};
-  it.Core.lender().ask(it.Now, {"10.9.9.9", use}, request);
+  it.Core.lender().ask(it.Now, {"10.9.9.9", number}, request);
   return it.ownOpen("p") > 0;
 }
 
@@ -295,19 +295,19 @@
   // and a connection that a non-home VM opens then is missing for the homes.
   OrganisationFixture it;
   shareWithFortyVms(it);
-  const auto homes = askedForAWrite(it, "WRITE x 1");
+  const auto homes = lendersAskedForWrite(it, "WRITE x 1");
   CHECK(homes.size() == 4);
-  CHECK_FALSE(opensForABorrower(it, 1));
+  CHECK_FALSE(opensForBorrower(it, 1));
   it.advance(milliseconds(4000));
-  CHECK(askedForAWrite(it, "WRITE x 2").size() > homes.size());
-  CHECK(opensForABorrower(it, 2));
+  CHECK(lendersAskedForWrite(it, "WRITE x 2").size() > homes.size());
+  CHECK(opensForBorrower(it, 2));
 }
 
 TEST_CASE("Organisation_WhoHasHadLessOfAnInstanceGoesFirst") {
   OrganisationFixture it;
   // This VM may have one connection to each instance.
-  it.Next.Services["db"].MaxConnections = 1;
-  it.applyNext();
+  it.NextConfiguration.Services["db"].MaxConnections = 1;
+  it.applyNextConfiguration();
   it.ask(it.connectWith("current", "red-key"), StatementKind::Write,
          "WRITE red 1");
   it.answerOwn(markOf(3, 100));
--- a/src/proxy/tests/ProxyPrimaryTest.cpp
+++ b/src/proxy/tests/ProxyPrimaryTest.cpp
@@ -104,10 +104,10 @@
     it.Core.tick(it.Now);
     refuseAll();
   }
-  const auto sights = it.Core.primarySights(it.Now);
-  REQUIRE(sights.size() == 1);
-  CHECK(sights[0].Primary == InstanceId("p"));
-  CHECK(sights[0].SilentFor >= milliseconds(600));
+  const auto observations = it.Core.primarySights(it.Now);
+  REQUIRE(observations.size() == 1);
+  CHECK(observations[0].Primary == InstanceId("p"));
+  CHECK(observations[0].SilentFor >= milliseconds(600));
   // A borrower gets the report that it can't be reached.
   BorrowRequest request;
   request.Service = "db";
--- a/src/proxy/tests/ProxyTest.cpp
+++ b/src/proxy/tests/ProxyTest.cpp
@@ -99,9 +99,9 @@
   configuration.Version = 4;
   Fixture::addRoute(configuration, "current", ReadPolicy::Current);
   core.applyConfiguration(now + milliseconds(100), configuration);
-  const std::vector<std::string> told = {
+  const std::vector<std::string> expected = {
       "event=early_clients clients=2 statements=1 longest_ms=80"};
-  CHECK(io.Lines == told);
+  CHECK(io.Lines == expected);
 }
 
 TEST_CASE("Proxy_StatementGivenUpByItsClientIsTold") {
--- a/src/proxy/tests/RouteWorkTest.cpp
+++ b/src/proxy/tests/RouteWorkTest.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// An instance that answers as fast as usual.
-constexpr double NoQueue = 1.0;
+constexpr double NoCongestion = 1.0;
 
 control::Route routeOf(const char *name) {
   control::Route route;
@@ -33,8 +33,8 @@
 TEST_CASE("RouteWork_LongerStatementsDoNotLookLikeAQueue") {
   RouteWork work;
   for (int i = 0; i < 100; ++i) {
-    work.note(routeOf("short"), milliseconds(5), NoQueue);
-    work.note(routeOf("long"), milliseconds(20), NoQueue);
+    work.note(routeOf("short"), milliseconds(5), NoCongestion);
+    work.note(routeOf("long"), milliseconds(20), NoCongestion);
   }
   CHECK(work.slowness(routeOf("long"), milliseconds(20)) ==
         doctest::Approx(1.0));
@@ -45,7 +45,7 @@
 TEST_CASE("RouteWork_AnswersOfAnInstanceWithAQueueDontBecomeUsual") {
   RouteWork work;
   for (int i = 0; i < 100; ++i)
-    work.note(routeOf("short"), milliseconds(10), NoQueue);
+    work.note(routeOf("short"), milliseconds(10), NoCongestion);
   // Half a minute of overload during which each statement takes 1.5 times as
   // long.
   for (int i = 0; i < 600; ++i)
--- a/src/proxy/types/ProxyOptions.h
+++ b/src/proxy/types/ProxyOptions.h
@@ -30,7 +30,7 @@
   double SecondTryShare = 0.05;
   /// The burst of such retries: a VM with few reads may retry some, and the
   /// bursts of many VMs together don't overload an instance.
-  double SecondTryReserve = 2;
+  double ReadRetryBurst = 2;
   /// The pause before a statement is sent to the same instance again.
   Duration RetryPause = milliseconds(25);
   /// How often the primary is asked for its position when no statement returned
@@ -100,15 +100,15 @@
   Duration RestTime = milliseconds(700);
   /// No new connection is opened for this long after an instance had no free
   /// slot.
-  Duration FullPause = milliseconds(1000);
+  Duration FullInstancePause = milliseconds(1000);
   /// The same for a VM that has no connection to that instance at all.
-  Duration FullPauseAlone = milliseconds(120);
+  Duration FullInstancePauseUnconnected = milliseconds(120);
   /// A client that connected before the first configuration is refused after
   /// this time, so that it can try another VM.
-  Duration EarlyClientLimit = milliseconds(900);
+  Duration EarlyClientTimeout = milliseconds(900);
   /// The maximum number of statements that such a client may have sent; a
   /// client that waits to be accepted sends none.
-  std::size_t EarlyStatements = 16;
+  std::size_t MaxEarlyStatements = 16;
   /// The maximum number of statements that wait for one service.
   std::size_t QueueLength = 200;
   /// The maximum number of borrowed connections to one instance: one for each
--- a/src/proxy/types/SessionEnd.h
+++ b/src/proxy/types/SessionEnd.h
@@ -14,7 +14,7 @@
 
 enum class SessionEnd {
   /// The VM is isolated: it receives nothing from control VMs or primaries.
-  CutOff,
+  Isolated,
   /// The VM is being stopped.
   Stopping,
   /// No configuration has arrived since the client connected.
@@ -31,7 +31,7 @@
 
 /// For logs and metrics.
 constexpr auto SessionEndNames = std::to_array<NameEntry<SessionEnd>>({
-    {SessionEnd::CutOff, "cut_off"},
+    {SessionEnd::Isolated, "cut_off"},
     {SessionEnd::Stopping, "stopping"},
     {SessionEnd::NoConfiguration, "no_configuration"},
     {SessionEnd::KeyWithdrawn, "key_withdrawn"},
