--- a/src/proxy/tests/OrganisationTest.cpp
+++ b/src/proxy/tests/OrganisationTest.cpp
@@ -53,7 +53,7 @@
   }
 }
 
-TEST_CASE("Organisation_ItsConnectionMakesRoomForOthers") {
+TEST_CASE("Organisation_ItsFreeConnectionIsReplacedForAnother") {
   OrganisationFixture it;
   // This VM may have one connection to each instance.
   it.NextConfiguration.Services["db"].MaxConnections = 1;
@@ -72,7 +72,7 @@
   }
 }
 
-TEST_CASE("Organisation_RestingSessionIsClosedWithItsKey") {
+TEST_CASE("Organisation_IdleSessionIsClosedWhenItsKeyIsWithdrawn") {
   OrganisationFixture it;
   const auto red = it.connectWith("current", "red-key");
   const auto blue = it.connectWith("current", "blue-key");
@@ -83,7 +83,7 @@
   CHECK(it.Io.Rejected.contains(it.connectWith("current", "red-key")));
 }
 
-TEST_CASE("Organisation_WaitingStatementIsRefusedWithItsKey") {
+TEST_CASE("Organisation_WaitingStatementIsRefusedWhenItsKeyIsWithdrawn") {
   OrganisationFixture it;
   it.losePrimary();
   const auto red = it.connectWith("current", "red-key");
@@ -94,7 +94,7 @@
   CHECK(it.Core.sessionCount() == 0);
 }
 
-TEST_CASE("Organisation_StatementUnderWayIsAnsweredThenTheSessionEnds") {
+TEST_CASE("Organisation_StatementInFlightIsAnsweredThenTheSessionEnds") {
   OrganisationFixture it;
   const auto red = it.connectWith("current", "red-key");
   const auto carrier = it.sendWrite(red, "WRITE x 1");
@@ -105,7 +105,7 @@
   CHECK(it.Io.Rejected.contains(red));
 }
 
-TEST_CASE("Organisation_OpenTransactionIsRolledBackWithItsKey") {
+TEST_CASE("Organisation_OpenTransactionIsRolledBackWhenItsKeyIsWithdrawn") {
   OrganisationFixture it;
   const auto red = it.connectWith("current", "red-key");
   const auto carrier = it.beginTransaction(red);
@@ -121,7 +121,7 @@
   CHECK(it.Io.Rejected.contains(red));
 }
 
-TEST_CASE("Organisation_CommitUnderWayIsToldAsItEnded") {
+TEST_CASE("Organisation_CommitInFlightIsAnsweredWithItsOutcome") {
   OrganisationFixture it;
   const auto red = it.connectWith("current", "red-key");
   const auto carrier = it.beginTransaction(red);
@@ -182,7 +182,7 @@
   CHECK(it.Io.Opened.at(*carrier).Organisation == OrganisationId("blue"));
 }
 
-TEST_CASE("Organisation_ExhaustedQuotaIsRefusedAtOnceWithATimeToComeBack") {
+TEST_CASE("Organisation_ExhaustedQuotaIsRefusedAtOnceWithARetryTime") {
   OrganisationFixture it;
   it.NextConfiguration.Routes[DatabaseId("current")].Priority = 3;
   it.applyNextConfiguration();
@@ -303,7 +303,7 @@
   CHECK(opensForBorrower(it, 2));
 }
 
-TEST_CASE("Organisation_WhoHasHadLessOfAnInstanceGoesFirst") {
+TEST_CASE("Organisation_OneUnderItsFairShareIsServedFirst") {
   OrganisationFixture it;
   // This VM may have one connection to each instance.
   it.NextConfiguration.Services["db"].MaxConnections = 1;
--- a/src/proxy/tests/ProxyPrimaryTest.cpp
+++ b/src/proxy/tests/ProxyPrimaryTest.cpp
@@ -14,7 +14,7 @@
 using proxy::tests::markOf;
 using Fixture = proxy::tests::ProxyFixture;
 
-TEST_CASE("Proxy_PrimaryIsReachedByALenderWhenTheDirectPathIsSilent") {
+TEST_CASE("Proxy_PrimaryIsReachedThroughALenderWhenTheDirectPathIsSilent") {
   Fixture it;
   it.warmUp();
   it.Core.setEntries({{"10.9.9.9", HallId("b")}});
--- a/src/proxy/tests/ProxyReadTest.cpp
+++ b/src/proxy/tests/ProxyReadTest.cpp
@@ -66,7 +66,7 @@
   CHECK(*it.Io.Sent[*carrier].back().MinimumPosition == markOf(3, 100));
 }
 
-TEST_CASE("Proxy_LaggingReplicaIsLeftForAnother") {
+TEST_CASE("Proxy_ReadRefusedByALaggingReplicaIsRetriedAtAnother") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("bounded");
--- a/src/proxy/tests/ProxyStartTest.cpp
+++ b/src/proxy/tests/ProxyStartTest.cpp
@@ -62,7 +62,7 @@
   CHECK(carriedBy(it, texts, "r2") > 0);
 }
 
-TEST_CASE("Proxy_ReadsThatCameBeforeTheFirstLenderWaitToo") {
+TEST_CASE("Proxy_ReadsThatArrivedBeforeTheFirstLenderWaitToo") {
   Fixture it;
   // Too few connections for all VMs; this one borrows.
   control::Configuration configuration;
@@ -94,7 +94,7 @@
   CHECK(beginsAt(it, "p") == 1);
 }
 
-TEST_CASE("Proxy_ReadsTurnToThePrimaryWhereNoPositionComes") {
+TEST_CASE("Proxy_ReadsGoToThePrimaryWhenNoPositionArrives") {
   Fixture it;
   it.warmUp();
   it.Core.forgetProofs();
--- a/src/proxy/tests/ProxyTest.cpp
+++ b/src/proxy/tests/ProxyTest.cpp
@@ -70,7 +70,7 @@
   CHECK(io.Answers[client].size() == 1);
 }
 
-TEST_CASE("Proxy_ClientWithoutAConfigurationMayNotAskWithoutEnd") {
+TEST_CASE("Proxy_ClientWithoutAConfigurationMaySendFewStatements") {
   FakeIo io;
   quota::tests::NoQuota quota;
   Proxy core(Fixture::options(), io, io, io, quota);
@@ -83,7 +83,7 @@
   CHECK(io.Rejected[client].Code == ReplyCode::Busy);
 }
 
-TEST_CASE("Proxy_ClientsThatWaitedForTheFirstConfigurationAreTold") {
+TEST_CASE("Proxy_ClientsThatWaitedForTheFirstConfigurationAreLogged") {
   FakeIo io;
   quota::tests::NoQuota quota;
   Proxy core(Fixture::options(), io, io, io, quota);
@@ -104,7 +104,7 @@
   CHECK(io.Lines == expected);
 }
 
-TEST_CASE("Proxy_StatementGivenUpByItsClientIsTold") {
+TEST_CASE("Proxy_StatementAbandonedByItsClientIsLogged") {
   Fixture it;
   it.warmUp();
   const auto linesOf = [&it](ClientId client) {
@@ -155,7 +155,7 @@
     CHECK(it.Io.Sent[*other].front().Text == "WRITE y 1");
 }
 
-TEST_CASE("Proxy_PreparedStatementsKeepTheirOwnersMeaning") {
+TEST_CASE("Proxy_PreparedStatementsBelongToTheirSession") {
   Fixture it;
   it.warmUp();
   const auto first = it.connect("current");
--- a/src/proxy/tests/ProxyTransactionTest.cpp
+++ b/src/proxy/tests/ProxyTransactionTest.cpp
@@ -79,7 +79,7 @@
   CHECK(it.lastAnswer(client).State == SessionState::Idle);
 }
 
-TEST_CASE("Proxy_TransactionThatRestsIsRolledBackAndTold") {
+TEST_CASE("Proxy_IdleTransactionIsRolledBackAndReported") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
