--- a/src/proxy/internal/Dispatch.cpp
+++ b/src/proxy/internal/Dispatch.cpp
@@ -55,7 +55,7 @@
 }
 
 bool Proxy::awaitsProof(TimePoint now, const ClientSession &session) {
-  // NOTE: where hardly any age is allowed, no position is ever new enough.
+  // NOTE: with hardly any staleness allowed, no position is ever new enough.
   if (session.Route.MaxStaleness < Options.StalenessMargin + Options.ProofWait)
     return false;
   const auto primary = tracker(session.Route.Service).primary(now);
@@ -167,11 +167,9 @@
                             session.Mode == TransactionMode::ReadWrite;
   if (needsPrimary)
     return false;
-  // NOTE: such reads come to the primary only while replicas are behind. A
-  // read-only transaction keeps a connection for the time of several single
-  // reads, so that fewer clients are refused when it is: 0.848 of the worth was
-  // earned without it on days with replicas behind, 0.855 with it (simulated
-  // days, means of twenty).
+  // NOTE: such reads go to the primary only while replicas are behind. A
+  // read-only transaction holds a connection for as long as several single
+  // reads, so shedding it refuses fewer clients than shedding single reads.
   return session.Route.Policy == ReadPolicy::BoundedStaleness ||
          session.Mode == TransactionMode::ReadOnly;
 }
@@ -213,9 +211,9 @@
       Pool.findFree(instance, organisation, session.Values, usesDirect);
   if (!found && known && !Pool.isOpening(instance, organisation)) {
     openIfWorthIt(now, session, known->Record);
-    // NOTE: one that is borrowed from a connected VM can be used at once. VMs
-    // with some statements a second for 60 instances have none left from the
-    // last one, and waited for their next tick, 10 to 40 ms away.
+    // NOTE: a connection borrowed from a connected VM can be used at once. VMs
+    // with a few statements per second for 60 instances have no connection left
+    // from the last one, and would wait 10 to 40 ms for their next tick.
     found = Pool.findFree(instance, organisation, session.Values, usesDirect);
   }
   if (found)
@@ -226,8 +224,8 @@
 bool Proxy::isAtLimit(TimePoint now, const TrackedInstance &instance,
                       const OrganisationId &organisation) {
   const auto &record = instance.Record;
-  // NOTE: the homes limit what runs at once, and the time that a statement
-  // waits there says nothing of the instance.
+  // NOTE: the homes limit the concurrent statements, and the time that a
+  // statement waits in a home's queue doesn't show the instance's load.
   const bool isLimited =
       !usesHomes(record.Service) || isHomeFor(now, record, organisation);
   return isLimited && Pool.busyAt(record.Id) >= instance.Running.limit();
@@ -244,12 +242,11 @@
                        : shareOf(now, record).Floor;
   const bool isShort =
       open < kept || Pool.pinnedAt(record.Id, organisation) == open;
-  // NOTE: one that serves a single statement is free again about as soon as a
-  // new one would be open, so it is worth a short wait.
+  // NOTE: a connection that serves a single statement is free again about as
+  // soon as a new one would be open, so it is worth a short wait.
   const bool hasWaited = now - work.ArrivedAt >= Options.BorrowDelay;
-  // NOTE: a client that rests inside its transaction may hold this VM's only
-  // connection: 0.948 of the worth instead of 0.941 on simulated days with such
-  // clients. A read has other instances to turn to.
+  // NOTE: an idle transaction may hold this VM's only connection to the
+  // primary. A read can go to other instances.
   const bool mayBorrow = work.PrimaryOnly;
   if (isShort || hasWaited)
     openTo(now, record, organisation, mayBorrow, &session);
--- a/src/proxy/internal/LendablePool.cpp
+++ b/src/proxy/internal/LendablePool.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of Proxy that tells its lender what this VM has to lend.
+/// \file The part of Proxy that provides its lender with this VM's connections.
 
 #include "proxy/Proxy.h"
 
@@ -20,11 +20,11 @@
     Pool.noteUse(now, *it);
     return it;
   }
-  // NOTE: one that is no home lends all the same: its borrowers may know of a
-  // loss that this VM hasn't heard of, or reach the instance only by it.
+  // NOTE: a non-home VM lends too: its borrowers may have a report of a loss
+  // that this VM hasn't received, or reach the instance only through it.
   const bool isGuest = usesHomes(service) && !isHomeOf(known->Record);
-  // NOTE: with organisations the homes need the room that is left after a loss
-  // of power.
+  // NOTE: with organisations the homes need the connections that are left on
+  // the instance after a power loss.
   if (isGuest && Configuration.HasOrganisations && isCautious(now))
     return nullptr;
   const ConnectionShare share =
@@ -37,7 +37,7 @@
 }
 
 bool Proxy::expectsFree(TimePoint now, const InstanceId &instance) {
-  // NOTE: a client at work is back in its transaction within some statement
+  // NOTE: an active client continues its transaction within a few statement
   // times, and ends it.
   return Pool.ownAt(instance) >
          Pool.restingAt(instance, now - Options.RestTime);
--- a/src/proxy/internal/Lender.cpp
+++ b/src/proxy/internal/Lender.cpp
@@ -26,7 +26,8 @@
   return command.Kind == CommandKind::Rollback ? Purpose::End : Purpose::Begin;
 }
 
-/// The proxy's own questions have none, and borrowers that don't tell it.
+/// Whether the request has a latency objective: the proxy's own queries have
+/// none, and some borrowers don't send it.
 bool hasObjective(const BorrowNeeds &needs) {
   return needs.Rank.Objective > Duration{};
 }
@@ -46,7 +47,7 @@
   const auto found = Uses.find(key);
   if (found != Uses.end() && found->second.Bound)
     return send(now, found->second, request);
-  // NOTE: commands of a use that has ended here belong to a transaction that
+  // NOTE: commands of a borrow that has ended here belong to a transaction that
   // is rolled back; they must not start another one.
   if (!request.IsFirst)
     return Io.endBorrower(key, LendingEnd::Lost, {});
@@ -64,7 +65,8 @@
   if (!Pool.reaches(service, instance))
     return refuse(now, key, LendingEnd::Unreachable);
   auto &queue = Queues[instance];
-  // NOTE: a use that has ended here may come again under its number.
+  // NOTE: a borrow that has ended here may be requested again under the same
+  // number.
   std::erase_if(queue,
                 [&](const auto &it) { return it == key || !isWaiting(it); });
   if (queue.size() >= Options.QueueLength)
@@ -99,11 +101,11 @@
 void Lender::refuseIfHopeless(TimePoint now, const BorrowKey &key) {
   auto &use = Uses.at(key);
   auto &needs = use.Waiting->Needs;
-  // NOTE: a client may rest inside its transaction for seconds.
+  // NOTE: a client's transaction may be idle for seconds.
   if (needs.NeedsFreeNow || !Pool.expectsFree(now, use.Instance))
     return refuse(now, key, LendingEnd::Full);
-  // NOTE: where it isn't known how long the wait is, another home may be asked
-  // soon.
+  // NOTE: while the wait can't be estimated, the borrow keeps the queue limit,
+  // so that the borrower can soon ask another home.
   const Duration held = Loads[use.Instance].held();
   if (!hasObjective(needs) || held == Duration{})
     return;
@@ -115,7 +117,7 @@
   if (expectedWait(now, key, true) > Patience.late(facts, age))
     return refuse(now, key, LendingEnd::Full);
   use.IsLate = true;
-  // NOTE: the line puts those that are beyond their objectives last.
+  // NOTE: the serving order puts those that are past their objectives last.
   needs.Rank.ArrivedAt =
       std::min(needs.Rank.ArrivedAt, now - needs.Rank.Objective - Duration(1));
 }
@@ -148,19 +150,19 @@
   if (!isWaiting(key))
     return;
   Duration wait{};
-  // NOTE: where all connections rest in transactions, nobody knows the wait.
+  // NOTE: while all connections are idle in transactions, the wait is unknown.
   const auto &waiting = Uses.at(key);
   if (reason == LendingEnd::Full && Pool.expectsFree(now, waiting.Instance))
     wait = expectedWait(now, key, urgencyOf(now, waiting).IsLate);
   const auto use = Uses.extract(key);
   logRefusal(now, key, use.mapped(), reason, wait);
   Log.lendRefused(reason);
-  // Nothing was sent, so each command is told as not run.
+  // Nothing was sent, so each command is reported as not run.
   StatementReply reply;
   reply.Code = ReplyCode::Busy;
   reply.Detail = "no free connection at the home of the instance";
-  // NOTE: the reason goes first, so that the borrower doesn't ask here again as
-  // soon as it has the replies.
+  // NOTE: the reason is sent first, so that the borrower doesn't ask this VM
+  // again as soon as it has the replies.
   Io.endBorrower(key, reason, wait);
   Io.answerBorrower(key,
                     std::vector(use.mapped().Waiting->Commands.size(), reply));
@@ -258,10 +260,9 @@
   const auto queue = Queues.find(instance);
   if (queue == Queues.end())
     return;
-  // NOTE: a use may have ended, and its number may stand for a new one.
+  // NOTE: a borrow may have ended, and its number may belong to a new one.
   std::erase_if(queue->second, [&](const auto &it) { return !isWaiting(it); });
-  // NOTE: those of one organisation that find no connection don't hold up the
-  // others.
+  // NOTE: an organisation without a free connection doesn't block the others.
   std::set<std::optional<OrganisationId>> unserved;
   for (const auto &key :
        waitingInOrder(now, {service, instance}, queue->second)) {
@@ -336,7 +337,7 @@
     const auto &use = Uses.at(key);
     const Duration wait =
         Loads[instance].wait(now, urgencyOf(now, use), ahead, connections);
-    // NOTE: those behind it move up.
+    // NOTE: the borrows behind a refused one move up.
     if (hasObjective(use.Waiting->Needs) && now + wait > use.WaitsUntil)
       keys.push_back(key);
     else
--- a/src/proxy/internal/Lender.h
+++ b/src/proxy/internal/Lender.h
@@ -29,20 +29,21 @@
   Purpose Reason = Purpose::Setup;
 };
 
-/// What a VM has at an instance to lend, as it is now.
+/// This VM's connections to an instance that it may lend, and their limits.
 struct LendingRoom {
-  /// Connections of this VM's own, those that are being opened among them.
+  /// Own connections, including those that are being opened.
   int Own = 0;
   int Opening = 0;
-  /// The instance owes an answer on them.
+  /// Connections with a pending answer of the instance.
   int Working = 0;
-  /// Held by open transactions, between two statements.
+  /// Connections of open transactions that are idle between two statements.
   int Resting = 0;
-  /// How many of its own this VM may have.
+  /// The most own connections that this VM may have.
   int Share = 0;
-  /// How many should be at work at once.
+  /// The most connections that should run a statement at once.
   int Running = 0;
-  /// No new one is opened before, since the instance had no room.
+  /// The time until a new connection may be opened, since the instance had no
+  /// free one.
   Duration PauseLeft{};
 };
 
@@ -51,46 +52,47 @@
 public:
   virtual ~ILendablePool() = default;
 
-  /// A free connection of this VM's own for \p organisation, or any without
-  /// one; opens one for later where there is none and the share allows it.
+  /// A free own connection for \p organisation, or for any if none is given. If
+  /// there is none, opens one for later use if the share allows it.
   virtual InstanceConnection *
   findLendable(TimePoint now, const std::string &service,
                const InstanceId &instance,
                const std::optional<OrganisationId> &organisation) = 0;
-  /// This VM has a path to the instance, as far as it knows.
+  /// Whether this VM has a path to the instance, as far as known.
   virtual bool reaches(const std::string &service,
                        const InstanceId &instance) = 0;
-  /// Nothing has come back from the instance since \p sentAt.
+  /// Whether nothing has been received from the instance since \p sentAt.
   virtual bool isSilentSince(const std::string &service,
                              const InstanceId &instance, TimePoint sentAt) = 0;
-  /// A connection of this VM's own should be free in a moment: one is being
-  /// opened, or has served a use or transaction lately.
+  /// Whether an own connection should be free soon: one is being opened, or has
+  /// recently served a borrow or transaction.
   virtual bool expectsFree(TimePoint now, const InstanceId &instance) = 0;
-  /// How many connections to the instance this VM has or opens, without those
-  /// whose transactions have rested for long; at least one.
+  /// The number of own connections to the instance, including those being
+  /// opened, without those whose transactions have been idle for long; at least
+  /// one.
   virtual int usableAt(TimePoint now, const std::string &service,
                        const InstanceId &instance) = 0;
-  /// For the log: nothing is decided by it.
+  /// For the log only; no decision depends on it.
   virtual LendingRoom roomAt(TimePoint now, const std::string &service,
                              const InstanceId &instance) = 0;
   virtual InstanceConnection *connection(ConnectionId id) = 0;
   virtual void transmitLent(TimePoint now, InstanceConnection &connection,
                             const std::vector<OutgoingCommand> &batch) = 0;
-  /// The connection is idle and nobody's.
+  /// Returns an idle connection without a borrower to the pool.
   virtual void takeBack(TimePoint now, InstanceConnection &connection) = 0;
-  /// Its borrower has gone; what it left open is rolled back.
+  /// The borrower has ended the borrow; its open transaction is rolled back.
   virtual void abandonLent(TimePoint now, InstanceConnection &connection) = 0;
 };
 
 struct LenderOptions {
-  /// A use without an objective that gets no connection within this time is
-  /// refused as not run, so that its borrower can ask another home in time:
-  /// about the tightest latency objective.
+  /// A borrow without a latency objective that gets no connection within this
+  /// time is refused as not run, so that the borrower can ask another home in
+  /// time; about the tightest latency objective.
   Duration QueueLimit = milliseconds(150);
-  /// Commands without an answer for this long are owed by a silent instance, if
-  /// nothing else has come from it since: some answer times.
+  /// An instance is silent if commands have no answer for this long and nothing
+  /// else has been received from it since; a few answer times.
   Duration SilentAfter = milliseconds(250);
-  /// The most uses that wait for one instance.
+  /// The most borrows in the queue of one instance.
   std::size_t QueueLength = 64;
 };
 
@@ -101,28 +103,28 @@
       : Pool(pool), Io(io), Log(log), Line(line), Options(options) {}
 
   void ask(TimePoint now, const BorrowKey &key, BorrowRequest request);
-  /// The borrower gives up the use.
+  /// The borrower ends the borrow.
   void end(TimePoint now, const BorrowKey &key);
-  /// The borrower has gone, with all of its uses.
+  /// The borrower is gone; ends all of its borrows.
   void endAll(TimePoint now, const std::string &ip);
 
   /// An instance answered on a lent connection.
   void answered(TimePoint now, InstanceConnection &connection, Purpose reason,
                 const StatementReply &reply);
-  /// A lent connection broke.
+  /// A lent connection was lost.
   void lost(const BorrowKey &key);
-  /// A connection to the instance may be free.
+  /// Serves the instance's queue, since a connection may be free.
   void pump(TimePoint now, const std::string &service,
             const InstanceId &instance);
   void tick(TimePoint now);
-  /// From now on uses go on but none begins.
+  /// Refuses new borrows; existing ones continue.
   void stop() { IsStopping = true; }
-  /// The VMs with a use that hasn't ended.
+  /// The VMs with a borrow that hasn't ended.
   std::set<std::string> borrowers() const;
   bool isLending() const { return !Uses.empty(); }
-  /// How long the oldest use has lasted.
+  /// The age of the oldest borrow.
   Duration oldestUse(TimePoint now) const;
-  /// The uses of \p ip, for a log line.
+  /// The borrow numbers of \p ip, for a log line.
   std::string usesOf(const std::string &ip) const;
 
 private:
@@ -131,42 +133,44 @@
     InstanceId Instance;
     std::optional<OrganisationId> Organisation;
     std::optional<ConnectionId> Bound;
-    /// Sent once there is a connection.
+    /// The request, until it is sent on a connection.
     std::optional<BorrowRequest> Waiting;
     TimePoint ArrivedAt{};
-    /// The borrower has been told that the instance is silent.
+    /// The borrower was informed that the instance is silent.
     bool IsToldSilent = false;
     TimePoint BoundAt{};
-    /// How long it holds its connection counts for those that wait.
+    /// Its hold time counts in the estimate of the queue's waits.
     bool IsMeasured = false;
-    /// It would be late, and waits behind those that won't.
+    /// It is expected to miss its objective, and waits behind those that
+    /// aren't.
     bool IsLate = false;
-    /// Refused if it has no connection by then.
+    /// It is refused if it has no connection by then.
     TimePoint WaitsUntil{};
   };
 
-  /// The use has commands that aren't sent yet.
+  /// Whether the borrow has commands that aren't sent yet.
   bool isWaiting(const BorrowKey &key) const;
   void send(TimePoint now, Use &use, const BorrowRequest &request);
-  /// The uses that wait, the one to serve first in front.
+  /// The borrows in \p queue, in the order in which they are served.
   std::vector<BorrowKey> waitingInOrder(TimePoint now,
                                         const scheduling::LineId &line,
                                         const std::deque<BorrowKey> &queue);
   void bind(TimePoint now, const BorrowKey &key,
             InstanceConnection &connection);
-  /// Tells the borrowers that wait for an instance which has fallen silent.
+  /// Reports a silent instance to the borrowers that wait for its answers.
   void tellSilence(TimePoint now);
   void refuse(TimePoint now, const BorrowKey &key, LendingEnd reason);
-  /// What led to the refusal, with what this VM has at the instance.
+  /// Logs the refusal with this VM's connections to the instance.
   void logRefusal(TimePoint now, const BorrowKey &key, const Use &use,
                   LendingEnd reason, Duration wait);
 
   static overload::Urgency urgencyOf(TimePoint now, const Use &use);
-  /// How long the use would wait in its place, or as one that is late.
+  /// The expected wait of a queued borrow; with \p isLate, as one that is late.
   Duration expectedWait(TimePoint now, const BorrowKey &key, bool isLate);
-  /// Refuses the waiting use if it would wait beyond what is of use to it.
+  /// Refuses a queued borrow whose expected wait is too long, or marks it as
+  /// late if it would only miss its objective.
   void refuseIfHopeless(TimePoint now, const BorrowKey &key);
-  /// The uses of the line that can't be served in time as it is now.
+  /// The borrows in \p queue that can't be served in time as it is now.
   std::vector<BorrowKey> outlived(TimePoint now, const InstanceId &instance,
                                   const std::deque<BorrowKey> &queue);
 
--- a/src/proxy/internal/LoadShedder.h
+++ b/src/proxy/internal/LoadShedder.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which reads keep off an overloaded primary for the sake of statements
-/// that no other instance can run.
+/// \file Decides which reads an overloaded primary sheds in favour of
+/// statements that no other instance can run.
 
 #ifndef STEPLEDGE_PROXY_INTERNAL_LOADSHEDDER_H
 #define STEPLEDGE_PROXY_INTERNAL_LOADSHEDDER_H
@@ -15,18 +15,19 @@
 namespace stepledge::proxy {
 
 struct ShedOptions {
-  /// Where the primary takes so many times its usual time to answer, it is
-  /// overloaded: while all replicas lagged, 0.92 of the worth was served with
-  /// shedding and 0.85 without (simulated days).
+  /// The primary is overloaded if its answer time is at least this multiple of
+  /// the usual one. While all replicas lag, more work is served with shedding
+  /// than without.
   double Above = 1.7;
-  /// The same while statements wait for the service at this VM: then the longer
-  /// time is no chance. At 1.3 without a queue, a quiet day lost 0.009.
+  /// The same while statements wait for the service at this VM, so that the
+  /// longer time is no random variation. Without a queue, 1.3 sheds too much in
+  /// times of low load.
   double AboveInQueue = 1.3;
-  /// A primary counts as needed for so long after a statement that only it can
-  /// run: some statement times.
+  /// How long a primary counts as needed after a statement that only it can
+  /// run; several statement times.
   Duration NeededTime = milliseconds(1000);
-  /// One read that would be shed goes through in each such time, so that none
-  /// is starved while an overload lasts.
+  /// One read that would be shed is let through per interval, so that reads
+  /// aren't starved while an overload lasts.
   Duration ProbeInterval = milliseconds(1000);
 };
 
@@ -34,12 +35,12 @@
 public:
   explicit LoadShedder(ShedOptions options = {}) : Options(options) {}
 
-  /// A statement came that only the primary of \p service can run.
+  /// A statement arrived that only the primary of \p service can run.
   void notePrimaryNeeded(TimePoint now, const std::string &service);
-  /// Whether a read that replicas could run too, if they were not behind, has
-  /// to be shed. \p congestion is how many times as long as usual the primary
-  /// takes; \p hasQueue says that others wait for it here. A read that is let
-  /// through as a probe uses the probe up.
+  /// Whether to shed a read that replicas could also run if they were not
+  /// behind. \p congestion is the primary's answer time relative to the usual
+  /// one; \p hasQueue is set if other statements wait for the service at this
+  /// VM. A read that is let through as a probe uses up the interval's probe.
   bool sheds(TimePoint now, const std::string &service, double congestion,
              bool hasQueue);
 
--- a/src/proxy/internal/SharedLimit.cpp
+++ b/src/proxy/internal/SharedLimit.cpp
@@ -9,15 +9,17 @@
 
 namespace {
 
-/// Weight of a new answer in the smoothed time.
+/// Weight of a new answer in the smoothed slowness.
 constexpr double SampleWeight = 0.1;
-/// Part of the difference by which the usual slowness follows upwards with each
-/// answer: at tens of answers a second, an overload of half a minute hardly
-/// moves it.
+/// The part of the difference by which the usual slowness rises with each
+/// answer: at tens of answers per second, an overload of half a minute hardly
+/// changes it.
 constexpr double UsualWeight = 1.0 / 2048;
-/// Above so many times the usual, the instance has a queue.
+/// The instance has a queue if its slowness is above this multiple of the
+/// usual.
 constexpr double QueuedFactor = 1.9;
-/// Each answer from an instance with a queue takes this part off.
+/// Each answer from an instance with a queue multiplies the limit by this
+/// factor.
 constexpr double Decrease = 0.9;
 
 } // namespace
--- a/src/proxy/internal/SharedLimit.h
+++ b/src/proxy/internal/SharedLimit.h
@@ -1,9 +1,10 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file How many statements this VM may have at one instance at once, so that
-/// the VMs together keep the instance's own queue short. They don't speak about
-/// it: each goes by the answer times that it sees itself.
+/// \file The limit on this VM's concurrent statements at one instance, so that
+/// the VMs together keep the instance's own queue short. The VMs exchange no
+/// messages about it: each adapts its limit to the answer times that it
+/// measures.
 
 #ifndef STEPLEDGE_PROXY_INTERNAL_SHAREDLIMIT_H
 #define STEPLEDGE_PROXY_INTERNAL_SHAREDLIMIT_H
@@ -12,16 +13,17 @@
 
 class SharedLimit {
 public:
-  /// Never more than \p most statements.
+  /// The limit is never above \p most statements.
   explicit SharedLimit(int most) : Most(most), Allowed(most) {}
 
   /// A statement took \p slowness times as long as its route's statements
-  /// usually do, while this VM had \p running there.
+  /// usually do, while this VM had \p running statements at the instance.
   void noteAnswer(double slowness, int running);
 
-  /// From 1 to the most.
+  /// From 1 to the maximum.
   int limit() const;
-  /// How many times as long as usual its answers take; 1 before the first one.
+  /// The smoothed answer time relative to the usual one; 1 before the first
+  /// answer.
   double congestion() const { return Smoothed / Usual; }
 
 private:
@@ -29,8 +31,8 @@
   double Allowed;
   /// Smoothed slowness.
   double Smoothed = 1.0;
-  /// The slowness of quiet times: 1, or more where the instance has become
-  /// slower for good.
+  /// The slowness without a queue: 1, or more if the instance has become
+  /// permanently slower.
   double Usual = 1.0;
 };
 
--- a/src/proxy/internal/Shares.cpp
+++ b/src/proxy/internal/Shares.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of Proxy that shares the instances' connections with the
-/// other VMs: how many it may hold, and by whom it reaches an instance.
+/// \file The part of Proxy that divides the instances' connections among the
+/// VMs: how many this VM may hold, and from which VM it borrows.
 
 #include "proxy/Proxy.h"
 
@@ -35,7 +35,7 @@
 }
 
 bool Proxy::usesHomes(const std::string &service) const {
-  // NOTE: a VM needs one for each organisation that asks it.
+  // NOTE: a VM needs one connection for each organisation that it serves.
   const int organisations =
       std::max(1, static_cast<int>(Configuration.Organisations.size()));
   return Homes.isNeeded(usableConnections(service) / organisations);
@@ -46,7 +46,8 @@
     return Homes.share(usableConnections(service));
   const int pooled = pooledConnections(service);
   membership::HomeShare share;
-  // NOTE: guests use what is kept free only while homes are out of reach.
+  // NOTE: non-home VMs use the connections that are kept free only while homes
+  // are unreachable.
   share.Guests = std::max(1, usableConnections(service) - pooled);
   share.Homes = std::clamp(pooled / Options.OrganisationHomeConnections, 1,
                            Options.MostOrganisationHomes);
@@ -93,11 +94,9 @@
 }
 
 int Proxy::homeConnections(const std::string &service) const {
-  // NOTE: with all that may be used, a primary's 53 connections were open while
-  // four of them ran a statement, and after a loss of power no VM got in for 3
-  // s: 0.795 of the worth was earned so, and 0.821 with this share and the
-  // closing of those that only questions use (simulated days of 70 VMs, means
-  // of six).
+  // NOTE: homes don't use all usable connections. With all 53 connections of a
+  // primary open for 70 VMs, of which four ran a statement, VMs that restarted
+  // after a power loss found no free connection on the instance for 3 s.
   const auto share = homeShare(service);
   if (Configuration.HasOrganisations)
     return share.Connections;
@@ -132,15 +131,15 @@
             ? std::min(own, startConnections(record.Service))
             : own + std::min(spareConnections(record.Service),
                              Pool.restingAt(record.Id, now - Options.RestTime));
-    // NOTE: one that rests is the only one of its organisation.
+    // NOTE: an idle connection is the only one of its organisation.
     const int kept = Configuration.HasOrganisations ? limit : limit / 2;
     return {std::max(1, kept), limit};
   }
   const int own = Homes.evenShare(record.Id, record.Hall,
                                   pooledConnections(record.Service));
   ConnectionShare share{std::max(1, own / 2), own};
-  // NOTE: each VM should get one of the connections that are left before any
-  // gets two, so the share grows by one at a time after a start.
+  // NOTE: after a start the share grows one connection at a time, so that each
+  // VM gets one of the free connections before any VM gets two.
   if (isCautious(now)) {
     const auto since = Pool.ownSince(record.Id);
     const auto grown =
@@ -159,8 +158,8 @@
   const bool isDirect =
       !isDirectBad && (!isHomes || isHomeFor(now, record, organisation));
   const auto share = shareOf(now, record);
-  // NOTE: one without any connection to a full instance borrows, since others
-  // have some.
+  // NOTE: a VM without an own connection to a full instance borrows, since
+  // other VMs have connections to it.
   const bool mustBorrow =
       isDirect && Pool.ownAt(record.Id) == 0 && Pool.isFull(now, record.Id);
   if (isDirect && !mustBorrow &&
@@ -198,10 +197,9 @@
   auto lenders =
       usesOwnOrder ? Homes.homesOf(record.Id, record.Hall, share, *organisation)
                    : Homes.lenders(record.Id, record.Hall, share);
-  // NOTE: after a loss of power homes are soon full, and the connections of
-  // guests would keep them from opening theirs: together with taking another's
-  // place at a full instance, 157 connections a day were refused over the limit
-  // instead of 520 (simulated day that ends so, one play each).
+  // NOTE: after a power loss the homes are soon full. Connections of non-home
+  // VMs would then keep the homes from opening theirs: the instance refuses
+  // connections over its limit.
   if (usesOwnOrder && !isCautious(now)) {
     const auto guests =
         Homes.guestsOf(record.Id, record.Hall, share, *organisation);
@@ -218,8 +216,9 @@
                  const std::optional<OrganisationId> &organisation,
                  const ClientSession *session) {
   auto lenders = lendersOf(now, record, organisation);
-  // NOTE: with connections of its own to wait for, this VM needs one that is
-  // free now. Asking several lenders side by side would mostly bring refusals.
+  // NOTE: while this VM has own connections to wait for, it needs a borrowed
+  // one that is free now. Requests to several lenders at once would mostly be
+  // refused.
   if (Pool.ownAt(record.Id) > 0 && hasBadLender(now, record.Id))
     std::erase_if(lenders, [&](const auto &it) {
       return !Pool.borrowedFrom(it, record.Id).empty();
@@ -264,7 +263,8 @@
   const auto left = [&](bool isLate) {
     return Told.left(now, instance, lender, {isLate, facts.Priority});
   };
-  // NOTE: a lender that has told nothing has room, also for the late.
+  // NOTE: a lender that has reported no wait has capacity, also for late
+  // statements.
   return left(false) <= Patience.onTime(facts, age) ||
          left(true) <= Patience.late(facts, age);
 }
@@ -282,8 +282,8 @@
     owner->Current->IsRefusedByLender = true;
   else
     owner = nullptr;
-  // NOTE: with connections of its own to wait for, it asked only for one that
-  // is free.
+  // NOTE: with own connections to wait for, this VM requested only a connection
+  // that is free now.
   const bool hasOwn = Pool.ownAt(instance) > 0;
   if (reason == LendingEnd::Full && expectedWait > Duration{} && owner &&
       !hasOwn)
@@ -307,8 +307,8 @@
   const auto facts = factsOf(now, session);
   const Duration age = now - session.Current->ArrivedAt;
   ++session.Current->LendersTooFull;
-  // NOTE: the lender has weighed what is of use to the statement; what was left
-  // of it then is a little more than now.
+  // NOTE: the lender compared the wait with the statement's limits, which were
+  // slightly longer then than now.
   Told.note(now, instance, lender, {false, facts.Priority},
             std::max(expectedWait, Patience.onTime(facts, age) + Duration(1)));
   Told.note(now, instance, lender, {true, facts.Priority},
@@ -332,7 +332,7 @@
   std::optional<Duration> least;
   if (Told.hasNoWord())
     return least;
-  // NOTE: the statement waits for a successor, not for room.
+  // NOTE: the statement waits for a new primary, not for a free connection.
   if (session.Current->PrimaryOnly &&
       awaitsSuccessor(now, session.Route.Service))
     return least;
@@ -375,7 +375,8 @@
 }
 
 void Proxy::refuseEarly(TimePoint now, ClientSession &session, Duration wait) {
-  // NOTE: nobody knows whether there is room after more than that.
+  // NOTE: a reported wait isn't valid for longer, so the capacity after that is
+  // unknown.
   const Duration known = std::min(wait, Told.mostBelieved());
   const Duration pause =
       overload::retryTime(known, session.Current->Statement.Id);
@@ -406,8 +407,8 @@
   const bool isOpen = owner->State == SessionState::InTransaction;
   const bool isCommit = work.Statement.Kind == StatementKind::Commit;
   if (isOpen && owner->HasRunInTransaction) {
-    // NOTE: a commit may have run; all else is rolled back with the connection,
-    // and the client still has the time to repeat it.
+    // NOTE: a commit may have run. Everything else is rolled back with the
+    // connection, and the client still has time to retry it.
     if (isCommit)
       return;
     Io.closeConnection(connection);
--- a/src/proxy/internal/UseRates.cpp
+++ b/src/proxy/internal/UseRates.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-/// A use counts for a third after this time: some uses of an organisation that
-/// asks a home once in two seconds, and soon forgotten once it stops.
+/// A use counts for a third after this time: long enough to span several uses
+/// of an organisation that sends one to a home every two seconds, short enough
+/// to expire soon after the organisation stops.
 constexpr std::chrono::duration<double> Memory(10);
-/// An organisation whose uses weigh less is forgotten: one use three times the
-/// memory ago.
+/// An organisation with a lower weight is removed: that of one use, three times
+/// the decay time ago.
 constexpr double Negligible = 0.05;
 
 } // namespace
--- a/src/proxy/internal/UseRates.h
+++ b/src/proxy/internal/UseRates.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file How often each organisation has used one instance of late, by which
-/// the connection is chosen that makes room for another organisation's.
+/// \file How often each organisation has recently used one instance. Decides
+/// whose connection is closed to free a slot for another organisation.
 
 #ifndef STEPLEDGE_PROXY_INTERNAL_USERATES_H
 #define STEPLEDGE_PROXY_INTERNAL_USERATES_H
@@ -16,9 +16,9 @@
 
 class UseRates {
 public:
-  /// One more statement or transaction of \p organisation.
+  /// Counts one use of \p organisation: a statement or transaction.
   void note(TimePoint now, const OrganisationId &organisation);
-  /// Its uses, each the less worth the longer ago it was.
+  /// The organisation's uses, which decay exponentially with their age.
   double of(TimePoint now, const OrganisationId &organisation) const;
   std::size_t size() const { return Uses.size(); }
 
--- a/src/proxy/internal/Waiting.cpp
+++ b/src/proxy/internal/Waiting.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of Proxy that keeps the statements which wait for a
-/// connection, and their order.
+/// \file The part of Proxy that queues and orders the statements that wait for
+/// a connection.
 
 #include "proxy/Proxy.h"
 
@@ -56,7 +56,8 @@
                  took);
   if (connection.Borrower)
     return;
-  // NOTE: a borrowed one has waited at its lender too, which took no slot.
+  // NOTE: the time on a borrowed connection includes the wait in the lender's
+  // queue, which took no slot.
   const auto *instance = tracker(service).find(connection.Instance);
   const Duration usual = instance ? instance->ServiceTime : took;
   Line.noteUse(now, {service, {}}, *connection.Organisation,
--- a/src/proxy/tests/LenderTest.cpp
+++ b/src/proxy/tests/LenderTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Lending a connection to another VM: for one use, in its own order, and
-/// with an honest refusal where nothing was sent.
+/// \file Lending a connection to another VM: for one statement or transaction,
+/// in the order of the queue, and refused as not run if nothing was sent.
 
 #include "proxy/internal/Lender.h"
 #include "proxy/tests/FakeIo.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// One connection to one instance.
+/// A pool with one connection to one instance.
 class OnePool : public ILendablePool {
 public:
   InstanceConnection *
@@ -123,13 +123,14 @@
     Lending.ask(Now, {"10.0.0.9", use}, request);
   }
 
-  /// Uses of 40 ms each, one after the other; then the connection is taken.
+  /// Runs borrows of 40 ms each one after the other, then removes the
+  /// connection.
   void learn() {
     for (std::uint64_t use = 1000; use < 1050; ++use) {
       askFor(use, 1, milliseconds(250));
       Now += milliseconds(40);
       answer(SessionState::Idle);
-      // Others rest in between, so that the line isn't full as such.
+      // The connection is idle in between, so that it isn't fully used.
       Now += milliseconds(60);
     }
     Pool.HasConnection = false;
@@ -191,7 +192,7 @@
   it.answer(SessionState::InTransaction);
   it.Pool.IsReached = false;
   it.Lending.tick(it.Now);
-  // Nothing is owed, so nobody waits.
+  // No answer is pending, so the borrower doesn't wait.
   CHECK(it.Io.Ended.empty());
   it.ask(1, false, "a");
   it.Lending.tick(it.Now);
@@ -199,7 +200,7 @@
   it.Now += LenderOptions().SilentAfter;
   it.Lending.tick(it.Now);
   CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Silent);
-  // The answer may come all the same, and the borrower decides.
+  // An answer that still arrives is passed on to the borrower.
   const auto answers = it.Io.Lent[{"10.0.0.9", 1}].size();
   it.answer(SessionState::InTransaction);
   CHECK(it.Io.Lent[{"10.0.0.9", 1}].size() == answers + 1);
@@ -243,7 +244,7 @@
   it.Lending.tick(it.Now);
   REQUIRE(it.Pool.Sent.size() == 1);
   CHECK(it.Pool.Sent.front().Id == "b");
-  // The connection is free again while the first wait still stands in line.
+  // The connection is free again while the first request is still in the queue.
   it.Pool.Connection.Borrower.reset();
   it.Pool.Connection.Sent.clear();
   it.Lending.pump(it.Now, "db", InstanceId("i"));
@@ -259,8 +260,8 @@
   CHECK(it.Io.Ended[{"10.0.0.9", 2}] == LendingEnd::Full);
 }
 
-// A wait that nobody had measured was told, and borrowers refused their clients
-// by it.
+// Guards against a reported wait that was never measured: borrowers refused
+// their clients' statements because of it.
 TEST_CASE("Lender_TellsNoWaitWhereAllConnectionsRestInTransactions") {
   Fixture it;
   it.learn();
@@ -293,7 +294,7 @@
   Fixture it;
   it.Pool.IsReached = false;
   it.ask(1, true, "a");
-  // A borrower that had the replies first would ask here once more.
+  // A borrower that received the replies first would ask this lender again.
   CHECK(it.Io.Told == std::vector<std::string>{"end", "reply"});
 }
 
@@ -346,7 +347,7 @@
     order += it.Pool.Sent.back().Id;
     it.answer(SessionState::Idle);
   }
-  // The third is late already; the others go by priority and objective.
+  // The third is late already; the others are served by priority and objective.
   CHECK(order == "4213");
 }
 
@@ -359,13 +360,14 @@
     // Nothing was sent, and no time has passed.
     REQUIRE(it.Pool.Sent.size() == 50);
   }
-  // Room for some 240 ms of work of 40 ms each, and for as many late ones.
+  // The queue takes about 240 ms of borrows of 40 ms each, and as many late
+  // ones.
   CHECK(use > 4);
   CHECK(use < 14);
   CHECK(it.Io.Ended[{"10.0.0.9", use}] == LendingEnd::Full);
   CHECK(it.Io.ToldWaits[{"10.0.0.9", use}] > milliseconds(100));
   CHECK(it.Io.Lines.back().find("expected_wait_ms=") != std::string::npos);
-  // One with more time finds a place all the same.
+  // A borrow with a longer objective is still queued.
   it.askFor(100, 0, milliseconds(1200));
   CHECK(!it.isRefused(100));
 }
--- a/src/proxy/tests/LoadShedderTest.cpp
+++ b/src/proxy/tests/LoadShedderTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Shedding of reads at an overloaded primary, and its bounds.
+/// \file Shedding of reads at an overloaded primary, and its limits.
 
 #include "proxy/internal/LoadShedder.h"
 
@@ -15,7 +15,7 @@
 constexpr TimePoint Start(std::chrono::seconds(10));
 constexpr double Overload = 3.0;
 
-/// A shedder whose probe of \p Start is used up.
+/// A shedder whose probe at \p Start is used up.
 LoadShedder probed() {
   LoadShedder shedder;
   shedder.notePrimaryNeeded(Start, "db");
@@ -51,6 +51,6 @@
     shedder.notePrimaryNeeded(now, "db");
     shed += shedder.sheds(now, "db", Overload, false);
   }
-  // Five seconds, a read each 50 ms: five go through.
+  // In five seconds with a read every 50 ms, five go through.
   CHECK(shed == 95);
 }
--- a/src/proxy/tests/OverloadTest.cpp
+++ b/src/proxy/tests/OverloadTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What the proxy does where one instance has to do the work of all, or
-/// its connections are all in use.
+/// \file The proxy while one instance has to do the work of all, or all of its
+/// connections are in use.
 
 #include "proxy/tests/ProxyFixture.h"
 
@@ -17,14 +17,15 @@
 
 namespace {
 
-/// A replica that is at 50 of 100.
+/// The reply of a replica at position 50 of 100.
 StatementReply laggingReply() {
   auto reply = Fixture::refusal(ReplyCode::Lagging);
   reply.Position = markOf(3, 50);
   return reply;
 }
 
-/// A bounded read that a replica refuses for its position; gives the replica.
+/// Sends a bounded read that a replica refuses since it is behind; returns the
+/// replica.
 std::string readThatAReplicaRefuses(Fixture &it, const char *text) {
   it.ask(it.connect("bounded"), StatementKind::Read, text);
   const auto carrier = it.carrierOf(text);
@@ -43,7 +44,8 @@
   return n;
 }
 
-/// \p vms VMs before instances that allow twelve connections, and no homes.
+/// Adds \p vms VMs in front of instances that allow twelve connections, without
+/// homes.
 void shareWith(Fixture &it, std::uint64_t version, int vms) {
   control::Configuration configuration;
   configuration.Version = version;
@@ -57,7 +59,7 @@
   it.Core.setEntries(entries);
 }
 
-/// Two connections at most for each VM.
+/// At most two connections for each VM.
 void shareWithFourVms(Fixture &it) {
   shareWith(it, 2, 4);
   for (int i = 0; i < 40; ++i) {
@@ -73,7 +75,7 @@
   return n;
 }
 
-/// Opens a transaction that rests on its connection.
+/// Opens a transaction that stays idle on its connection.
 void openTransaction(Fixture &it, const std::string &text) {
   const auto client = it.connect("current");
   it.ask(client, StatementKind::Begin, "BEGIN");
@@ -88,7 +90,8 @@
             Fixture::replyAt(markOf(3, 100), SessionState::InTransaction));
 }
 
-/// A write of a VM all of whose connections to the primary are in transactions.
+/// Sends a write to a VM whose connections to the primary are all in
+/// transactions.
 void askWithoutAFreeConnection(Fixture &it) {
   it.warmUp();
   shareWithFourVms(it);
@@ -113,7 +116,8 @@
   it.Core.applyInstance(it.Now, record);
 }
 
-/// Asks for a bounded read; answers it and gives true if it was sent.
+/// Sends a bounded read to the proxy; answers it and returns true if it reached
+/// an instance.
 bool readAtThePrimary(Fixture &it, const std::string &text) {
   it.ask(it.connect("bounded"), StatementKind::Read, text.c_str());
   for (int n = 0; n < 10 && !it.carrierOf(text); ++n) {
@@ -138,7 +142,7 @@
   }
 }
 
-/// Answers writes of \p database one by one, each after \p took.
+/// Runs writes of \p database one by one, each answered after \p took.
 void runWrites(Fixture &it, const char *database, int count, Duration took) {
   for (int i = 0; i < count; ++i) {
     const std::string text =
@@ -158,7 +162,8 @@
   }
 }
 
-/// Others have filled the primary's queue, and no replica is there to turn to.
+/// Other VMs have filled the primary's queue, and there is no replica to use
+/// instead.
 void congestPrimary(Fixture &it) {
   it.warmUp();
   runWrites(it, "current", 40, milliseconds(5));
@@ -203,7 +208,7 @@
 TEST_CASE("Overload_ConnectionsBeyondAShareThatShrankAreClosed") {
   Fixture it;
   it.warmUp();
-  // Another VM is away, so this one may have more.
+  // With only two VMs, this one may have more connections.
   shareWith(it, 2, 2);
   it.advance(milliseconds(3500));
   for (const char *text : {"WRITE a 1", "WRITE b 1", "WRITE c 1"})
@@ -211,7 +216,7 @@
   REQUIRE(ownConnectionsTo(it, "p") >= 3);
   shareWith(it, 3, 4);
   it.advance(milliseconds(10));
-  // None is taken from a transaction.
+  // No connection is taken from a transaction.
   CHECK(ownConnectionsTo(it, "p") >= 3);
   for (std::uint64_t client = 1; client <= 3; ++client)
     it.ask(ClientId{client}, StatementKind::Rollback, "ROLLBACK");
@@ -248,7 +253,7 @@
   }
   CHECK(it.carrierOf("READ own"));
   CHECK(!it.carrierOf("READ later"));
-  // It is told so within an eighth of its objective, with nothing sent.
+  // It is refused within an eighth of its objective, with nothing sent.
   it.advance(milliseconds(12));
   CHECK(it.lastAnswer(late).Code == ReplyCode::Busy);
   CHECK(it.lastAnswer(late).Detail.find("overloaded") != std::string::npos);
@@ -291,7 +296,7 @@
     served += readAtThePrimary(it, "READ " + std::to_string(i));
     runWrites(it, "current", 1, milliseconds(80));
   }
-  // One a second, for as long as the congestion lasts.
+  // One per second while the congestion lasts.
   CHECK(served >= 2);
   CHECK(served <= 5);
 }
@@ -329,7 +334,7 @@
   REQUIRE(it.carrierOf("READ early"));
   CHECK(it.instanceOf(*it.carrierOf("READ early")) == "p");
   it.answer(*it.carrierOf("READ early"), Fixture::replyAt(markOf(3, 100)));
-  // Others have filled the primary's queue.
+  // Other VMs have filled the primary's queue.
   runWrites(it, "current", 20, milliseconds(60));
   it.ask(it.connect("bounded"), StatementKind::Read, "READ late");
   REQUIRE(it.carrierOf("READ late"));
--- a/src/proxy/tests/ProxyBorrowingTest.cpp
+++ b/src/proxy/tests/ProxyBorrowingTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Instances with too few connections for all VMs: homes, and what the
-/// others borrow.
+/// \file Instances with too few connections for all VMs: connections of the
+/// homes, and borrowing by the other VMs.
 
 #include "proxy/tests/ProxyFixture.h"
 
@@ -22,10 +22,11 @@
 
 namespace {
 
-/// Gives \p it other VMs before the same instances, with too few connections
-/// for each to have its own.
+/// Adds other VMs in front of the same instances to \p it, with too few
+/// connections for each VM to have its own.
 void shareWithSixVms(Fixture &it) {
-  // Eight connections for six VMs: two are homes, two are guests.
+  // Eight connections for six VMs: two homes, and two non-home VMs with one
+  // each.
   control::Configuration configuration;
   configuration.Version = 2;
   configuration.Services["db"] = {"db", 12, 0};
@@ -41,8 +42,8 @@
   }
 }
 
-/// Whatever carries \p text is refused by its lender, which tells \p wait; the
-/// lenders that did so.
+/// Lets each lender that gets \p text refuse it with \p wait as the expected
+/// wait; returns these lenders.
 std::vector<std::string> refuseAll(Fixture &it, const std::string &text,
                                    Duration wait) {
   std::vector<std::string> lenders;
@@ -61,7 +62,7 @@
   shareWithSixVms(it);
   for (const char *ip : {"1", "2", "3", "4", "5", "6"})
     it.Io.ConnectedLenders.insert(std::string("10.9.9.") + ip);
-  // The primary answers the proxy's questions, and no statement is left.
+  // The primary answers the proxy's own queries, and no statement is left.
   for (int i = 0; i < 50; ++i) {
     it.advance(milliseconds(100));
     it.answerOwn(markOf(3, 100));
@@ -101,7 +102,7 @@
     entries.push_back({"10.9.9." + std::to_string(i), HallId("b")});
   it.Core.setEntries(entries);
   it.advance(milliseconds(3500));
-  // Transactions that rest, each on a connection of its own.
+  // Idle transactions, each on a connection of its own.
   for (int i = 0; i < 12; ++i) {
     const auto client = it.connect("current");
     const std::string text = "WRITE x " + std::to_string(i);
@@ -120,7 +121,8 @@
         return target.second.Instance == InstanceId("p") &&
                !target.second.isBorrowed();
       });
-  // Six homes with four each, and seven guests, make 31 of 53.
+  // Six homes with four each, and seven non-home VMs with one each, make 31 of
+  // 53.
   CHECK(own == 4);
 }
 
@@ -156,7 +158,8 @@
   it.advance(milliseconds(800));
   for (int i = 4; i < 12; ++i)
     begin(i);
-  // Seven is what six homes and seven guests may have of 49 usable ones.
+  // Six homes with seven each, and seven non-home VMs with one each, make up
+  // the 49 usable connections.
   CHECK(ownAtPrimary(it) > 4);
   CHECK(ownAtPrimary(it) <= 7);
 }
@@ -173,7 +176,7 @@
     entries.push_back({"10.9.9." + std::to_string(i), HallId("b")});
   it.Core.setEntries(entries);
   it.advance(milliseconds(10));
-  // Clients come back with transactions and rest inside them.
+  // Clients reconnect and leave their transactions idle.
   for (int i = 0; i < 6; ++i) {
     const auto client = it.connect("current");
     const std::string text = "WRITE x " + std::to_string(i);
@@ -187,7 +190,8 @@
       it.answer(*carrier,
                 Fixture::replyAt(markOf(3, 100), SessionState::InTransaction));
   }
-  // The instance counts 28 lost connections still: 18 are left for six homes.
+  // The instance still counts 28 lost connections, so 18 are left for six
+  // homes.
   CHECK(ownAtPrimary(it) == 3);
 }
 
@@ -196,7 +200,7 @@
   shareWithSixVms(it);
   for (const char *ip : {"1", "2", "3", "4", "5", "6"})
     it.Io.ConnectedLenders.insert(std::string("10.9.9.") + ip);
-  // No statement for long enough that nothing is left of the last one.
+  // No statement for so long that no connection is left from the last one.
   it.advance(milliseconds(5000));
   const auto client = it.connect("current");
   it.ask(client, StatementKind::Write, "WRITE x 1");
@@ -205,8 +209,8 @@
   CHECK(it.Io.Opened.at(*carrier).isBorrowed());
 }
 
-// Its statements at other VMs counted as its own work at the instance, and it
-// refused to lend a connection that was free.
+// Guards against counting statements on borrowed connections as this VM's own
+// load at the instance: it refused to lend a free connection.
 TEST_CASE("Proxy_LendsItsOwnConnectionWhileItBorrows") {
   Fixture it;
   it.warmUp();
@@ -261,7 +265,7 @@
   it.addInstance("p2", membership::InstanceRole::Primary, "10.0.0.4:1");
   it.Core.applyPromotion(it.Now, "db", {InstanceId("p2"), 0, 9});
   const auto client = it.connect("current");
-  it.Ready.insert(ConnectionId{}); // Connections are taken by hand from here.
+  it.Ready.insert(ConnectionId{}); // From here the test accepts connections.
   ClientStatement statement;
   statement.Id = "w";
   statement.Kind = StatementKind::Write;
@@ -284,7 +288,8 @@
   REQUIRE(borrowed);
   it.Core.connectionReady(it.Now, *borrowed, {});
   CHECK(it.carrierOf("WRITE x 1") == borrowed);
-  // Once there may be room again, an own one is tried.
+  // Once the instance may have a free connection again, the VM opens an own
+  // one.
   it.Now += milliseconds(150);
   it.Core.tick(it.Now);
   CHECK(openTo(false));
@@ -304,14 +309,14 @@
   it.Now += milliseconds(700);
   const auto sights = it.Core.primarySights(it.Now);
   REQUIRE(sights.size() == 1);
-  // Control replaces a primary that most VMs miss for this long.
+  // The control VMs replace a primary that most VMs report silent for this
+  // long.
   CHECK(sights.front().SilentFor >= milliseconds(700));
 }
 
 namespace {
 
-/// A transaction on a connection that another VM lends, whose first write has
-/// been answered.
+/// Opens a transaction on a borrowed connection, with its first write answered.
 ConnectionId borrowForATransaction(Fixture &it, ClientId client) {
   shareWithSixVms(it);
   for (const char *ip : {"1", "2", "3", "4", "5", "6"})
@@ -368,8 +373,8 @@
   // No time has passed.
   CHECK(it.lastAnswer(first).Code == ReplyCode::Busy);
   CHECK(it.lastAnswer(first).Detail.find("retry after") != std::string::npos);
-  // The next ones ask nobody, but for one that finds out whether it still is
-  // so.
+  // The next statements ask no lender, except for one that probes whether there
+  // is capacity again.
   int sent = 0;
   for (int i = 0; i < 5; ++i) {
     const auto client = it.connect("current");
@@ -379,7 +384,7 @@
     CHECK(it.lastAnswer(client).Code == ReplyCode::Busy);
   }
   CHECK(sent <= 1);
-  // A word isn't believed for ever.
+  // A reported wait expires.
   it.advance(overload::ToldOptions().MostBelieved);
   it.ask(it.connect("current"), StatementKind::Write, "WRITE z 1");
   CHECK(it.carrierOf("WRITE z 1"));
@@ -429,7 +434,7 @@
   it.Core.applyInstance(it.Now, record);
   const auto client = it.connect("current");
   it.ask(client, StatementKind::Write, "WRITE x 1");
-  // Longer than a statement with its timeout waits for room.
+  // Longer than a statement with its timeout waits for a free connection.
   for (int i = 0; i < 65; ++i)
     it.advance(milliseconds(10));
   CHECK(it.Io.Answers[client].empty());
--- a/src/proxy/tests/SharedLimitTest.cpp
+++ b/src/proxy/tests/SharedLimitTest.cpp
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The limit at an instance that other VMs use too, by answer times.
+/// \file The limit on concurrent statements at an instance that other VMs use
+/// too, adapted to answer times.
 
 #include "proxy/internal/SharedLimit.h"
 
@@ -17,7 +18,8 @@
 } // namespace
 
 TEST_CASE("SharedLimit_FallsWhereOthersFillTheQueue") {
-  // Six times the usual time: a queue that this VM's own part didn't make.
+  // Six times the usual time: a queue that this VM's own statements don't
+  // cause.
   SharedLimit limit(Most);
   for (int i = 0; i < 60; ++i)
     limit.noteAnswer(6.0, 1);
@@ -42,7 +44,7 @@
 }
 
 TEST_CASE("SharedLimit_LastingSlownessBecomesUsual") {
-  // An instance that is slower for good must not be kept at one for ever.
+  // A permanently slower instance must not stay limited to one statement.
   SharedLimit limit(Most);
   for (int i = 0; i < 3000; ++i)
     limit.noteAnswer(6.0, 1);
