--- a/src/proxy/internal/Dispatch.cpp
+++ b/src/proxy/internal/Dispatch.cpp
@@ -40,8 +40,8 @@
                                        : dispatchRead(now, session);
   if (isSent)
     return;
-  if (const auto told = toldTooLong(now, session))
-    return refuseEarly(now, session, *told);
+  if (const auto reported = toldTooLong(now, session))
+    return refuseEarly(now, session, *reported);
   wait(session, work.NotBefore);
 }
 
@@ -185,7 +185,8 @@
   const auto *instance = primary ? instances.find(*primary) : nullptr;
   const bool hasQueue = Waiting[service].size() > 1;
   return instance &&
-         Shedder.sheds(now, service, instance->Running.congestion(), hasQueue);
+         Shedder.shouldShed(now, service, instance->Running.congestion(),
+                            hasQueue);
 }
 
 std::optional<Mark> Proxy::minimumPosition(TimePoint now,
--- a/src/proxy/internal/LendablePool.cpp
+++ b/src/proxy/internal/LendablePool.cpp
@@ -22,13 +22,13 @@
   }
   // NOTE: a non-home VM lends too: its borrowers may have a report of a loss
   // that this VM hasn't received, or reach the instance only through it.
-  const bool isGuest = usesHomes(service) && !isHomeOf(known->Record);
+  const bool isNonHome = usesHomes(service) && !isHomeOf(known->Record);
   // NOTE: with organisations the homes need the connections that are left on
   // the instance after a power loss.
-  if (isGuest && Configuration.HasOrganisations && isCautious(now))
+  if (isNonHome && Configuration.HasOrganisations && isCautious(now))
     return nullptr;
   const ConnectionShare share =
-      isGuest ? ConnectionShare{0, 1} : shareOf(now, known->Record);
+      isNonHome ? ConnectionShare{0, 1} : shareOf(now, known->Record);
   const bool isOpening = organisation ? Pool.isOpening(instance, organisation)
                                       : Pool.isOpening(instance);
   if (!isOpening || Pool.countOf(instance) == 0)
@@ -53,17 +53,17 @@
 
 LendingRoom Proxy::roomAt(TimePoint now, const std::string &service,
                           const InstanceId &instance) {
-  LendingRoom room;
-  room.Own = Pool.ownAt(instance);
-  room.Opening = Pool.openingAt(instance);
-  room.Working = Pool.ownBusyAt(instance);
-  room.Resting = Pool.restingAt(instance, now);
-  room.PauseLeft = Pool.pauseLeft(now, instance);
+  LendingRoom capacity;
+  capacity.OwnConnections = Pool.ownAt(instance);
+  capacity.Opening = Pool.openingAt(instance);
+  capacity.Busy = Pool.ownBusyAt(instance);
+  capacity.IdleInTransaction = Pool.restingAt(instance, now);
+  capacity.OpenPause = Pool.pauseLeft(now, instance);
   if (const auto *known = tracker(service).find(instance)) {
-    room.Share = shareOf(now, known->Record).Limit;
-    room.Running = known->Running.limit();
+    capacity.ConnectionLimit = shareOf(now, known->Record).Limit;
+    capacity.RunningLimit = known->Running.limit();
   }
-  return room;
+  return capacity;
 }
 
 bool Proxy::isSilentSince(const std::string &service,
--- a/src/proxy/internal/Lender.cpp
+++ b/src/proxy/internal/Lender.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-bool isClientsOwn(const InstanceCommand &command) {
+bool isClientCommand(const InstanceCommand &command) {
   return command.Kind == CommandKind::ClientText ||
          command.Kind == CommandKind::ClientExecute;
 }
 
 Purpose purposeOf(const InstanceCommand &command) {
-  if (isClientsOwn(command))
+  if (isClientCommand(command))
     return Purpose::Statement;
   return command.Kind == CommandKind::Rollback ? Purpose::End : Purpose::Begin;
 }
@@ -44,22 +44,22 @@
 void Lender::ask(TimePoint now, const BorrowKey &key, BorrowRequest request) {
   if (request.IsFirst)
     end(now, key);
-  const auto found = Uses.find(key);
-  if (found != Uses.end() && found->second.Bound)
+  const auto found = Borrows.find(key);
+  if (found != Borrows.end() && found->second.BoundConnection)
     return send(now, found->second, request);
   // NOTE: commands of a borrow that has ended here belong to a transaction that
   // is rolled back; they must not start another one.
   if (!request.IsFirst)
     return Io.endBorrower(key, LendingEnd::Lost, {});
-  auto &use = Uses[key];
-  use.Service = request.Service;
-  use.Instance = request.Instance;
-  use.Organisation = request.Organisation;
-  use.ArrivedAt = now;
-  use.WaitsUntil = now + Options.QueueLimit;
-  use.Waiting = std::move(request);
-  const std::string service = use.Service;
-  const InstanceId instance = use.Instance;
+  auto &borrow = Borrows[key];
+  borrow.Service = request.Service;
+  borrow.Instance = request.Instance;
+  borrow.Organisation = request.Organisation;
+  borrow.ArrivedAt = now;
+  borrow.QueueDeadline = now + Options.QueueTimeout;
+  borrow.PendingRequest = std::move(request);
+  const std::string service = borrow.Service;
+  const InstanceId instance = borrow.Instance;
   if (IsStopping)
     return refuse(now, key, LendingEnd::Stopping);
   if (!Pool.reaches(service, instance))
@@ -69,63 +69,64 @@
   // number.
   std::erase_if(queue,
                 [&](const auto &it) { return it == key || !isWaiting(it); });
-  if (queue.size() >= Options.QueueLength)
+  if (queue.size() >= Options.MaxQueueLength)
     return refuse(now, key, LendingEnd::Full);
   queue.push_back(key);
   pump(now, service, instance);
   if (isWaiting(key))
-    refuseIfHopeless(now, key);
+    refuseOrMarkLate(now, key);
 }
 
-overload::Urgency Lender::urgencyOf(TimePoint now, const Use &use) {
-  const auto &rank = use.Waiting->Needs.Rank;
-  const bool isLate =
-      hasObjective(use.Waiting->Needs) && (use.IsLate || rank.isLate(now));
+overload::Urgency Lender::urgencyOf(TimePoint now, const Borrow &borrow) {
+  const auto &rank = borrow.PendingRequest->Needs.Rank;
+  const bool isLate = hasObjective(borrow.PendingRequest->Needs) &&
+                      (borrow.IsLate || rank.isLate(now));
   return {isLate, rank.Priority};
 }
 
 Duration Lender::expectedWait(TimePoint now, const BorrowKey &key,
                               bool isLate) {
-  const auto &use = Uses.at(key);
-  const InstanceId &instance = use.Instance;
-  const overload::Urgency urgency{isLate, use.Waiting->Needs.Rank.Priority};
+  const auto &borrow = Borrows.at(key);
+  const InstanceId &instance = borrow.Instance;
+  const overload::Urgency urgency{isLate,
+                                  borrow.PendingRequest->Needs.Rank.Priority};
   int ahead = 0;
   if (const auto queue = Queues.find(instance); queue != Queues.end())
     for (const auto &it : queue->second)
-      ahead +=
-          it != key && isWaiting(it) && urgencyOf(now, Uses.at(it)) <= urgency;
+      ahead += it != key && isWaiting(it) &&
+               urgencyOf(now, Borrows.at(it)) <= urgency;
   return Loads[instance].wait(now, urgency, ahead,
-                              Pool.usableAt(now, use.Service, instance));
+                              Pool.usableAt(now, borrow.Service, instance));
 }
 
-void Lender::refuseIfHopeless(TimePoint now, const BorrowKey &key) {
-  auto &use = Uses.at(key);
-  auto &needs = use.Waiting->Needs;
+void Lender::refuseOrMarkLate(TimePoint now, const BorrowKey &key) {
+  auto &borrow = Borrows.at(key);
+  auto &needs = borrow.PendingRequest->Needs;
   // NOTE: a client's transaction may be idle for seconds.
-  if (needs.NeedsFreeNow || !Pool.expectsFree(now, use.Instance))
+  if (needs.NeedsFreeNow || !Pool.expectsFree(now, borrow.Instance))
     return refuse(now, key, LendingEnd::Full);
   // NOTE: while the wait can't be estimated, the borrow keeps the queue limit,
   // so that the borrower can soon ask another home.
-  const Duration held = Loads[use.Instance].held();
+  const Duration held = Loads[borrow.Instance].held();
   if (!hasObjective(needs) || held == Duration{})
     return;
   const auto facts = factsOf(needs.Rank);
   const Duration age = now - needs.Rank.ArrivedAt;
-  use.WaitsUntil = needs.Rank.ArrivedAt + Patience.lateLimit(facts);
-  if (expectedWait(now, key, false) <= Patience.onTime(facts, age, held))
+  borrow.QueueDeadline = needs.Rank.ArrivedAt + WaitLimits.lateLimit(facts);
+  if (expectedWait(now, key, false) <= WaitLimits.onTime(facts, age, held))
     return;
-  if (expectedWait(now, key, true) > Patience.late(facts, age))
+  if (expectedWait(now, key, true) > WaitLimits.late(facts, age))
     return refuse(now, key, LendingEnd::Full);
-  use.IsLate = true;
+  borrow.IsLate = true;
   // NOTE: the serving order puts those that are past their objectives last.
   needs.Rank.ArrivedAt =
       std::min(needs.Rank.ArrivedAt, now - needs.Rank.Objective - Duration(1));
 }
 
-void Lender::send(TimePoint now, Use &use, const BorrowRequest &request) {
-  auto *connection = Pool.connection(*use.Bound);
+void Lender::send(TimePoint now, Borrow &borrow, const BorrowRequest &request) {
+  auto *connection = Pool.connection(*borrow.BoundConnection);
   const bool isForClient = std::any_of(request.Commands.begin(),
-                                       request.Commands.end(), isClientsOwn);
+                                       request.Commands.end(), isClientCommand);
   std::vector<OutgoingCommand> batch;
   batch.reserve(request.Commands.size() + 2);
   if (isForClient)
@@ -151,11 +152,11 @@
     return;
   Duration wait{};
   // NOTE: while all connections are idle in transactions, the wait is unknown.
-  const auto &waiting = Uses.at(key);
+  const auto &waiting = Borrows.at(key);
   if (reason == LendingEnd::Full && Pool.expectsFree(now, waiting.Instance))
     wait = expectedWait(now, key, urgencyOf(now, waiting).IsLate);
-  const auto use = Uses.extract(key);
-  logRefusal(now, key, use.mapped(), reason, wait);
+  const auto borrow = Borrows.extract(key);
+  logRefusal(now, key, borrow.mapped(), reason, wait);
   Log.lendRefused(reason);
   // Nothing was sent, so each command is reported as not run.
   StatementReply reply;
@@ -164,32 +165,35 @@
   // NOTE: the reason is sent first, so that the borrower doesn't ask this VM
   // again as soon as it has the replies.
   Io.endBorrower(key, reason, wait);
-  Io.answerBorrower(key,
-                    std::vector(use.mapped().Waiting->Commands.size(), reply));
+  Io.answerBorrower(
+      key, std::vector(borrow.mapped().PendingRequest->Commands.size(), reply));
 }
 
-void Lender::logRefusal(TimePoint now, const BorrowKey &key, const Use &use,
-                        LendingEnd reason, Duration wait) {
-  const auto room = Pool.roomAt(now, use.Service, use.Instance);
-  const auto queue = Queues.find(use.Instance);
-  const auto load = Loads.find(use.Instance);
+void Lender::logRefusal(TimePoint now, const BorrowKey &key,
+                        const Borrow &borrow, LendingEnd reason,
+                        Duration wait) {
+  const auto capacity = Pool.roomAt(now, borrow.Service, borrow.Instance);
+  const auto queue = Queues.find(borrow.Instance);
+  const auto load = Loads.find(borrow.Instance);
   const Duration held = load == Loads.end() ? Duration{} : load->second.held();
   Log.decision(absl::StrCat(
-      "event=lend_refused borrower=", key.Ip, " use=", key.Use,
-      " instance=", use.Instance.str(), " reason=", std::string(nameOf(reason)),
-      " waited_ms=", toMilliseconds(now - use.ArrivedAt), " expected_wait_ms=",
-      toMilliseconds(wait), " held_ms=", toMilliseconds(held),
+      "event=lend_refused borrower=", key.Ip, " use=", key.Use, " instance=",
+      borrow.Instance.str(), " reason=", std::string(nameOf(reason)),
+      " waited_ms=", toMilliseconds(now - borrow.ArrivedAt),
+      " expected_wait_ms=", toMilliseconds(wait),
+      " held_ms=", toMilliseconds(held),
       " line=", queue == Queues.end() ? 0 : queue->second.size(),
-      " own=", room.Own, " opening=", room.Opening, " working=", room.Working,
-      " resting=", room.Resting, " share=", room.Share, " running_limit=",
-      room.Running, " pause_ms=", toMilliseconds(room.PauseLeft)));
+      " own=", capacity.OwnConnections, " opening=", capacity.Opening,
+      " working=", capacity.Busy, " resting=", capacity.IdleInTransaction,
+      " share=", capacity.ConnectionLimit, " running_limit=",
+      capacity.RunningLimit, " pause_ms=", toMilliseconds(capacity.OpenPause)));
 }
 
 void Lender::end(TimePoint now, const BorrowKey &key) {
-  const auto use = Uses.extract(key);
-  if (use.empty() || !use.mapped().Bound)
+  const auto borrow = Borrows.extract(key);
+  if (borrow.empty() || !borrow.mapped().BoundConnection)
     return;
-  auto *connection = Pool.connection(*use.mapped().Bound);
+  auto *connection = Pool.connection(*borrow.mapped().BoundConnection);
   if (!connection)
     return;
   connection->Borrower.reset();
@@ -198,8 +202,8 @@
 
 void Lender::endAll(TimePoint now, const std::string &ip) {
   std::vector<BorrowKey> keys;
-  for (auto it = Uses.lower_bound({ip, 0});
-       it != Uses.end() && it->first.Ip == ip; ++it)
+  for (auto it = Borrows.lower_bound({ip, 0});
+       it != Borrows.end() && it->first.Ip == ip; ++it)
     keys.push_back(it->first);
   for (const auto &it : keys)
     end(now, it);
@@ -211,9 +215,9 @@
   const bool isOver =
       connection.Sent.empty() && reply.State == SessionState::Idle;
   if (isOver) {
-    const auto use = Uses.extract(key);
-    if (!use.empty() && use.mapped().IsMeasured)
-      Loads[use.mapped().Instance].noteHeld(now - use.mapped().BoundAt);
+    const auto borrow = Borrows.extract(key);
+    if (!borrow.empty() && borrow.mapped().IsHoldTimeCounted)
+      Loads[borrow.mapped().Instance].noteHeld(now - borrow.mapped().BoundAt);
     connection.Borrower.reset();
   }
   if (reason != Purpose::Setup)
@@ -223,36 +227,36 @@
 }
 
 void Lender::lost(const BorrowKey &key) {
-  if (Uses.erase(key) > 0)
+  if (Borrows.erase(key) > 0)
     Io.endBorrower(key, LendingEnd::Lost, {});
 }
 
 bool Lender::isWaiting(const BorrowKey &key) const {
-  const auto use = Uses.find(key);
-  return use != Uses.end() && use->second.Waiting;
+  const auto borrow = Borrows.find(key);
+  return borrow != Borrows.end() && borrow->second.PendingRequest;
 }
 
 std::vector<BorrowKey>
-Lender::waitingInOrder(TimePoint now, const scheduling::LineId &line,
+Lender::waitingInOrder(TimePoint now, const scheduling::LineId &queueId,
                        const std::deque<BorrowKey> &queue) {
   std::vector<std::pair<scheduling::WaitRank, BorrowKey>> waiters;
   waiters.reserve(queue.size());
   for (const auto &it : queue)
-    waiters.emplace_back(Uses[it].Waiting->Needs.Rank, it);
-  return Line.inOrder(now, line, std::move(waiters));
+    waiters.emplace_back(Borrows[it].PendingRequest->Needs.Rank, it);
+  return Scheduler.inOrder(now, queueId, std::move(waiters));
 }
 
 void Lender::bind(TimePoint now, const BorrowKey &key,
                   InstanceConnection &connection) {
-  auto &use = Uses[key];
+  auto &borrow = Borrows[key];
   connection.Borrower = key;
-  use.Bound = connection.Id;
-  use.BoundAt = now;
-  use.IsMeasured = hasObjective(use.Waiting->Needs);
-  if (use.IsMeasured)
-    Loads[use.Instance].noteBegun(now, urgencyOf(now, use));
-  const auto request = std::exchange(use.Waiting, std::nullopt);
-  send(now, use, *request);
+  borrow.BoundConnection = connection.Id;
+  borrow.BoundAt = now;
+  borrow.IsHoldTimeCounted = hasObjective(borrow.PendingRequest->Needs);
+  if (borrow.IsHoldTimeCounted)
+    Loads[borrow.Instance].noteBegun(now, urgencyOf(now, borrow));
+  const auto request = std::exchange(borrow.PendingRequest, std::nullopt);
+  send(now, borrow, *request);
 }
 
 void Lender::pump(TimePoint now, const std::string &service,
@@ -266,7 +270,7 @@
   std::set<std::optional<OrganisationId>> unserved;
   for (const auto &key :
        waitingInOrder(now, {service, instance}, queue->second)) {
-    const auto organisation = Uses[key].Organisation;
+    const auto organisation = Borrows[key].Organisation;
     if (unserved.contains(organisation))
       continue;
     if (auto *connection =
@@ -282,63 +286,64 @@
 
 std::set<std::string> Lender::borrowers() const {
   std::set<std::string> ips;
-  for (const auto &[key, use] : Uses)
+  for (const auto &[key, borrow] : Borrows)
     ips.insert(key.Ip);
   return ips;
 }
 
 Duration Lender::oldestUse(TimePoint now) const {
   Duration oldest{};
-  for (const auto &[key, use] : Uses)
-    oldest = std::max(oldest, now - use.ArrivedAt);
+  for (const auto &[key, borrow] : Borrows)
+    oldest = std::max(oldest, now - borrow.ArrivedAt);
   return oldest;
 }
 
 std::string Lender::usesOf(const std::string &ip) const {
   std::string text;
-  for (auto it = Uses.lower_bound({ip, 0});
-       it != Uses.end() && it->first.Ip == ip; ++it)
+  for (auto it = Borrows.lower_bound({ip, 0});
+       it != Borrows.end() && it->first.Ip == ip; ++it)
     absl::StrAppend(&text, text.empty() ? "" : ",", it->first.Use,
-                    it->second.Bound ? "" : "(waiting)");
+                    it->second.BoundConnection ? "" : "(waiting)");
   return text;
 }
 
-void Lender::tellSilence(TimePoint now) {
-  for (auto &[key, use] : Uses) {
-    if (!use.Bound || use.IsToldSilent)
+void Lender::reportSilence(TimePoint now) {
+  for (auto &[key, borrow] : Borrows) {
+    if (!borrow.BoundConnection || borrow.IsSilenceReported)
       continue;
-    const auto *connection = Pool.connection(*use.Bound);
+    const auto *connection = Pool.connection(*borrow.BoundConnection);
     if (!connection || connection->Sent.empty())
       continue;
     const TimePoint sentAt = connection->Sent.front().SentAt;
-    if (now - sentAt < Options.SilentAfter ||
-        !Pool.isSilentSince(use.Service, use.Instance, sentAt))
+    if (now - sentAt < Options.SilenceTimeout ||
+        !Pool.isSilentSince(borrow.Service, borrow.Instance, sentAt))
       continue;
-    use.IsToldSilent = true;
+    borrow.IsSilenceReported = true;
     Log.decision(absl::StrCat("event=lend_silent borrower=", key.Ip, " use=",
-                              key.Use, " instance=", use.Instance.str()));
+                              key.Use, " instance=", borrow.Instance.str()));
     Io.endBorrower(key, LendingEnd::Silent, {});
   }
 }
 
-std::vector<BorrowKey> Lender::outlived(TimePoint now,
-                                        const InstanceId &instance,
-                                        const std::deque<BorrowKey> &queue) {
+std::vector<BorrowKey>
+Lender::findUnservable(TimePoint now, const InstanceId &instance,
+                       const std::deque<BorrowKey> &queue) {
   std::deque<BorrowKey> waiting;
   std::copy_if(queue.begin(), queue.end(), std::back_inserter(waiting),
                [&](const auto &it) { return isWaiting(it); });
   std::vector<BorrowKey> keys;
   if (waiting.empty())
     return keys;
-  const std::string &service = Uses.at(waiting.front()).Service;
+  const std::string &service = Borrows.at(waiting.front()).Service;
   const int connections = Pool.usableAt(now, service, instance);
   int ahead = 0;
   for (const auto &key : waitingInOrder(now, {service, instance}, waiting)) {
-    const auto &use = Uses.at(key);
+    const auto &borrow = Borrows.at(key);
     const Duration wait =
-        Loads[instance].wait(now, urgencyOf(now, use), ahead, connections);
+        Loads[instance].wait(now, urgencyOf(now, borrow), ahead, connections);
     // NOTE: the borrows behind a refused one move up.
-    if (hasObjective(use.Waiting->Needs) && now + wait > use.WaitsUntil)
+    if (hasObjective(borrow.PendingRequest->Needs) &&
+        now + wait > borrow.QueueDeadline)
       keys.push_back(key);
     else
       ++ahead;
@@ -347,22 +352,22 @@
 }
 
 void Lender::tick(TimePoint now) {
-  tellSilence(now);
+  reportSilence(now);
   std::vector<std::pair<BorrowKey, LendingEnd>> refused;
   std::vector<std::pair<std::string, InstanceId>> waiting;
   for (const auto &[instance, queue] : Queues) {
     for (const auto &key : queue) {
       if (!isWaiting(key))
         continue;
-      const auto use = Uses.find(key);
-      const bool isReached = Pool.reaches(use->second.Service, instance);
-      if (!isReached || now > use->second.WaitsUntil)
+      const auto borrow = Borrows.find(key);
+      const bool isReached = Pool.reaches(borrow->second.Service, instance);
+      if (!isReached || now > borrow->second.QueueDeadline)
         refused.emplace_back(key, isReached ? LendingEnd::Full
                                             : LendingEnd::Unreachable);
       else if (waiting.empty() || waiting.back().second != instance)
-        waiting.emplace_back(use->second.Service, instance);
+        waiting.emplace_back(borrow->second.Service, instance);
     }
-    for (const auto &key : outlived(now, instance, queue))
+    for (const auto &key : findUnservable(now, instance, queue))
       refused.emplace_back(key, LendingEnd::Full);
   }
   for (const auto &[key, reason] : refused)
--- a/src/proxy/internal/Lender.h
+++ b/src/proxy/internal/Lender.h
@@ -32,19 +32,19 @@
 /// This VM's connections to an instance that it may lend, and their limits.
 struct LendingRoom {
   /// Own connections, including those that are being opened.
-  int Own = 0;
+  int OwnConnections = 0;
   int Opening = 0;
   /// Connections with a pending answer of the instance.
-  int Working = 0;
+  int Busy = 0;
   /// Connections of open transactions that are idle between two statements.
-  int Resting = 0;
+  int IdleInTransaction = 0;
   /// The most own connections that this VM may have.
-  int Share = 0;
+  int ConnectionLimit = 0;
   /// The most connections that should run a statement at once.
-  int Running = 0;
+  int RunningLimit = 0;
   /// The time until a new connection may be opened, since the instance had no
   /// free one.
-  Duration PauseLeft{};
+  Duration OpenPause{};
 };
 
 /// The connections that can be lent.
@@ -88,19 +88,19 @@
   /// A borrow without a latency objective that gets no connection within this
   /// time is refused as not run, so that the borrower can ask another home in
   /// time; about the tightest latency objective.
-  Duration QueueLimit = milliseconds(150);
+  Duration QueueTimeout = milliseconds(150);
   /// An instance is silent if commands have no answer for this long and nothing
   /// else has been received from it since; a few answer times.
-  Duration SilentAfter = milliseconds(250);
+  Duration SilenceTimeout = milliseconds(250);
   /// The most borrows in the queue of one instance.
-  std::size_t QueueLength = 64;
+  std::size_t MaxQueueLength = 64;
 };
 
 class Lender {
 public:
   Lender(ILendablePool &pool, IBorrowerIo &io, IProxyLog &log,
-         scheduling::ServingLine &line, LenderOptions options = {})
-      : Pool(pool), Io(io), Log(log), Line(line), Options(options) {}
+         scheduling::ServingLine &scheduler, LenderOptions options = {})
+      : Pool(pool), Io(io), Log(log), Scheduler(scheduler), Options(options) {}
 
   void ask(TimePoint now, const BorrowKey &key, BorrowRequest request);
   /// The borrower ends the borrow.
@@ -121,67 +121,68 @@
   void stop() { IsStopping = true; }
   /// The VMs with a borrow that hasn't ended.
   std::set<std::string> borrowers() const;
-  bool isLending() const { return !Uses.empty(); }
+  bool isLending() const { return !Borrows.empty(); }
   /// The age of the oldest borrow.
   Duration oldestUse(TimePoint now) const;
   /// The borrow numbers of \p ip, for a log line.
   std::string usesOf(const std::string &ip) const;
 
 private:
-  struct Use {
+  struct Borrow {
     std::string Service;
     InstanceId Instance;
     std::optional<OrganisationId> Organisation;
-    std::optional<ConnectionId> Bound;
+    std::optional<ConnectionId> BoundConnection;
     /// The request, until it is sent on a connection.
-    std::optional<BorrowRequest> Waiting;
+    std::optional<BorrowRequest> PendingRequest;
     TimePoint ArrivedAt{};
     /// The borrower was informed that the instance is silent.
-    bool IsToldSilent = false;
+    bool IsSilenceReported = false;
     TimePoint BoundAt{};
     /// Its hold time counts in the estimate of the queue's waits.
-    bool IsMeasured = false;
+    bool IsHoldTimeCounted = false;
     /// It is expected to miss its objective, and waits behind those that
     /// aren't.
     bool IsLate = false;
     /// It is refused if it has no connection by then.
-    TimePoint WaitsUntil{};
+    TimePoint QueueDeadline{};
   };
 
   /// Whether the borrow has commands that aren't sent yet.
   bool isWaiting(const BorrowKey &key) const;
-  void send(TimePoint now, Use &use, const BorrowRequest &request);
+  void send(TimePoint now, Borrow &borrow, const BorrowRequest &request);
   /// The borrows in \p queue, in the order in which they are served.
   std::vector<BorrowKey> waitingInOrder(TimePoint now,
-                                        const scheduling::LineId &line,
+                                        const scheduling::LineId &queueId,
                                         const std::deque<BorrowKey> &queue);
   void bind(TimePoint now, const BorrowKey &key,
             InstanceConnection &connection);
   /// Reports a silent instance to the borrowers that wait for its answers.
-  void tellSilence(TimePoint now);
+  void reportSilence(TimePoint now);
   void refuse(TimePoint now, const BorrowKey &key, LendingEnd reason);
   /// Logs the refusal with this VM's connections to the instance.
-  void logRefusal(TimePoint now, const BorrowKey &key, const Use &use,
+  void logRefusal(TimePoint now, const BorrowKey &key, const Borrow &borrow,
                   LendingEnd reason, Duration wait);
 
-  static overload::Urgency urgencyOf(TimePoint now, const Use &use);
+  static overload::Urgency urgencyOf(TimePoint now, const Borrow &borrow);
   /// The expected wait of a queued borrow; with \p isLate, as one that is late.
   Duration expectedWait(TimePoint now, const BorrowKey &key, bool isLate);
   /// Refuses a queued borrow whose expected wait is too long, or marks it as
   /// late if it would only miss its objective.
-  void refuseIfHopeless(TimePoint now, const BorrowKey &key);
+  void refuseOrMarkLate(TimePoint now, const BorrowKey &key);
   /// The borrows in \p queue that can't be served in time as it is now.
-  std::vector<BorrowKey> outlived(TimePoint now, const InstanceId &instance,
-                                  const std::deque<BorrowKey> &queue);
+  std::vector<BorrowKey> findUnservable(TimePoint now,
+                                        const InstanceId &instance,
+                                        const std::deque<BorrowKey> &queue);
 
   ILendablePool &Pool;
   IBorrowerIo &Io;
   IProxyLog &Log;
-  scheduling::ServingLine &Line;
+  scheduling::ServingLine &Scheduler;
   LenderOptions Options;
-  overload::WaitPolicy Patience;
+  overload::WaitPolicy WaitLimits;
   bool IsStopping = false;
-  std::map<BorrowKey, Use> Uses;
+  std::map<BorrowKey, Borrow> Borrows;
   std::map<InstanceId, std::deque<BorrowKey>> Queues;
   std::map<InstanceId, overload::LineLoad> Loads;
 };
--- a/src/proxy/internal/LoadShedder.cpp
+++ b/src/proxy/internal/LoadShedder.cpp
@@ -9,12 +9,13 @@
   Services[service].NeededAt = now;
 }
 
-bool LoadShedder::sheds(TimePoint now, const std::string &service,
-                        double congestion, bool hasQueue) {
+bool LoadShedder::shouldShed(TimePoint now, const std::string &service,
+                             double congestion, bool hasQueue) {
   auto &state = Services[service];
-  const double most = hasQueue ? Options.AboveInQueue : Options.Above;
-  const bool isNeeded = now - state.NeededAt < Options.NeededTime;
-  if (!isNeeded || congestion < most)
+  const double threshold = hasQueue ? Options.QueuedCongestionThreshold
+                                    : Options.CongestionThreshold;
+  const bool isNeeded = now - state.NeededAt < Options.PrimaryNeededTime;
+  if (!isNeeded || congestion < threshold)
     return false;
   if (now - state.ProbedAt < Options.ProbeInterval)
     return true;
--- a/src/proxy/internal/LoadShedder.h
+++ b/src/proxy/internal/LoadShedder.h
@@ -14,18 +14,18 @@
 
 namespace stepledge::proxy {
 
-struct ShedOptions {
+struct LoadShedderOptions {
   /// The primary is overloaded if its answer time is at least this multiple of
   /// the usual one. While all replicas lag, more work is served with shedding
   /// than without.
-  double Above = 1.7;
+  double CongestionThreshold = 1.7;
   /// The same while statements wait for the service at this VM, so that the
   /// longer time is no random variation. Without a queue, 1.3 sheds too much in
   /// times of low load.
-  double AboveInQueue = 1.3;
+  double QueuedCongestionThreshold = 1.3;
   /// How long a primary counts as needed after a statement that only it can
   /// run; several statement times.
-  Duration NeededTime = milliseconds(1000);
+  Duration PrimaryNeededTime = milliseconds(1000);
   /// One read that would be shed is let through per interval, so that reads
   /// aren't starved while an overload lasts.
   Duration ProbeInterval = milliseconds(1000);
@@ -33,7 +33,7 @@
 
 class LoadShedder {
 public:
-  explicit LoadShedder(ShedOptions options = {}) : Options(options) {}
+  explicit LoadShedder(LoadShedderOptions options = {}) : Options(options) {}
 
   /// A statement arrived that only the primary of \p service can run.
   void notePrimaryNeeded(TimePoint now, const std::string &service);
@@ -41,8 +41,8 @@
   /// behind. \p congestion is the primary's answer time relative to the usual
   /// one; \p hasQueue is set if other statements wait for the service at this
   /// VM. A read that is let through as a probe uses up the interval's probe.
-  bool sheds(TimePoint now, const std::string &service, double congestion,
-             bool hasQueue);
+  bool shouldShed(TimePoint now, const std::string &service, double congestion,
+                  bool hasQueue);
 
 private:
   struct State {
@@ -50,7 +50,7 @@
     TimePoint ProbedAt{};
   };
 
-  ShedOptions Options;
+  LoadShedderOptions Options;
   std::map<std::string, State> Services;
 };
 
--- a/src/proxy/internal/SharedLimit.cpp
+++ b/src/proxy/internal/SharedLimit.cpp
@@ -25,21 +25,21 @@
 } // namespace
 
 void SharedLimit::noteAnswer(double slowness, int running) {
-  Smoothed += (slowness - Smoothed) * SampleWeight;
-  if (Smoothed < Usual)
-    Usual = std::max(1.0, Smoothed);
+  SmoothedSlowness += (slowness - SmoothedSlowness) * SampleWeight;
+  if (SmoothedSlowness < UsualSlowness)
+    UsualSlowness = std::max(1.0, SmoothedSlowness);
   else
-    Usual += (Smoothed - Usual) * UsualWeight;
+    UsualSlowness += (SmoothedSlowness - UsualSlowness) * UsualWeight;
   const bool isQueued = congestion() > QueuedFactor;
   if (isQueued)
     Allowed *= Decrease;
   else if (running >= limit())
     Allowed += 1.0 / Allowed;
-  Allowed = std::clamp(Allowed, 1.0, static_cast<double>(Most));
+  Allowed = std::clamp(Allowed, 1.0, static_cast<double>(Max));
 }
 
 int SharedLimit::limit() const {
-  return std::clamp(static_cast<int>(Allowed), 1, Most);
+  return std::clamp(static_cast<int>(Allowed), 1, Max);
 }
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/SharedLimit.h
+++ b/src/proxy/internal/SharedLimit.h
@@ -13,8 +13,8 @@
 
 class SharedLimit {
 public:
-  /// The limit is never above \p most statements.
-  explicit SharedLimit(int most) : Most(most), Allowed(most) {}
+  /// The limit is never above \p max statements.
+  explicit SharedLimit(int max) : Max(max), Allowed(max) {}
 
   /// A statement took \p slowness times as long as its route's statements
   /// usually do, while this VM had \p running statements at the instance.
@@ -24,16 +24,16 @@
   int limit() const;
   /// The smoothed answer time relative to the usual one; 1 before the first
   /// answer.
-  double congestion() const { return Smoothed / Usual; }
+  double congestion() const { return SmoothedSlowness / UsualSlowness; }
 
 private:
-  int Most;
+  int Max;
   double Allowed;
   /// Smoothed slowness.
-  double Smoothed = 1.0;
+  double SmoothedSlowness = 1.0;
   /// The slowness without a queue: 1, or more if the instance has become
   /// permanently slower.
-  double Usual = 1.0;
+  double UsualSlowness = 1.0;
 };
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/Shares.cpp
+++ b/src/proxy/internal/Shares.cpp
@@ -154,9 +154,9 @@
                    bool mayBorrowBeyond, const ClientSession *session) {
   const auto *known = tracker(record.Service).find(record.Id);
   const bool isDirectBad = known && known->IsDirectBad;
-  const bool isHomes = usesHomes(record.Service);
+  const bool hasHomes = usesHomes(record.Service);
   const bool isDirect =
-      !isDirectBad && (!isHomes || isHomeFor(now, record, organisation));
+      !isDirectBad && (!hasHomes || isHomeFor(now, record, organisation));
   const auto share = shareOf(now, record);
   // NOTE: a VM without an own connection to a full instance borrows, since
   // other VMs have connections to it.
@@ -193,17 +193,19 @@
 Proxy::lendersOf(TimePoint now, const membership::InstanceRecord &record,
                  const std::optional<OrganisationId> &organisation) {
   const auto share = homeShare(record.Service);
-  const bool usesOwnOrder = Configuration.HasOrganisations && organisation;
+  const bool usesOrganisationOrder =
+      Configuration.HasOrganisations && organisation;
   auto lenders =
-      usesOwnOrder ? Homes.homesOf(record.Id, record.Hall, share, *organisation)
-                   : Homes.lenders(record.Id, record.Hall, share);
+      usesOrganisationOrder
+          ? Homes.homesOf(record.Id, record.Hall, share, *organisation)
+          : Homes.lenders(record.Id, record.Hall, share);
   // NOTE: after a power loss the homes are soon full. Connections of non-home
   // VMs would then keep the homes from opening theirs: the instance refuses
   // connections over its limit.
-  if (usesOwnOrder && !isCautious(now)) {
-    const auto guests =
+  if (usesOrganisationOrder && !isCautious(now)) {
+    const auto nonHomes =
         Homes.guestsOf(record.Id, record.Hall, share, *organisation);
-    lenders.insert(lenders.end(), guests.begin(), guests.end());
+    lenders.insert(lenders.end(), nonHomes.begin(), nonHomes.end());
   }
   std::erase_if(lenders, [&](const auto &it) {
     return it == Options.OwnIp || isBadLender(now, record.Id, it);
@@ -228,12 +230,13 @@
   if (!session || Told.isEmpty(now, record.Id))
     return lenders.front();
   const overload::Urgency urgency{false, session->Route.Priority};
-  const auto left = [&](const auto &it) {
+  const auto remaining = [&](const auto &it) {
     return Told.left(now, record.Id, it, urgency);
   };
-  const auto least = std::min_element(
-      lenders.begin(), lenders.end(),
-      [&](const auto &a, const auto &b) { return left(a) < left(b); });
+  const auto least = std::min_element(lenders.begin(), lenders.end(),
+                                      [&](const auto &a, const auto &b) {
+                                        return remaining(a) < remaining(b);
+                                      });
   const bool mayAskMore =
       session->Current->LendersTooFull < Options.MostLendersTooFull;
   const bool isFull = lacksRoom(now, *session, record.Id, lenders);
@@ -260,13 +263,13 @@
                     const InstanceId &instance, const std::string &lender) {
   const auto facts = factsOf(now, session);
   const Duration age = now - session.Current->ArrivedAt;
-  const auto left = [&](bool isLate) {
+  const auto remaining = [&](bool isLate) {
     return Told.left(now, instance, lender, {isLate, facts.Priority});
   };
   // NOTE: a lender that has reported no wait has capacity, also for late
   // statements.
-  return left(false) <= Patience.onTime(facts, age) ||
-         left(true) <= Patience.late(facts, age);
+  return remaining(false) <= Patience.onTime(facts, age) ||
+         remaining(true) <= Patience.late(facts, age);
 }
 
 void Proxy::lenderRefused(TimePoint now, ConnectionId connection,
@@ -338,11 +341,11 @@
     return least;
   for (const auto &it : targetsOf(now, session)) {
     const auto *instance = tracker(session.Route.Service).find(it);
-    const auto told =
+    const auto reported =
         instance ? toldTooLongAt(now, session, *instance) : std::nullopt;
-    if (!told)
+    if (!reported)
       return std::nullopt;
-    least = std::min(least.value_or(*told), *told);
+    least = std::min(least.value_or(*reported), *reported);
   }
   return least;
 }
@@ -367,9 +370,9 @@
   std::optional<Duration> least;
   for (const auto &it : lenders)
     if (!hasRoom(now, session, record.Id, it)) {
-      const Duration left =
+      const Duration remaining =
           Told.left(now, record.Id, it, {false, session.Route.Priority});
-      least = std::min(least.value_or(left), left);
+      least = std::min(least.value_or(remaining), remaining);
     }
   return least;
 }
--- a/src/proxy/internal/UseRates.h
+++ b/src/proxy/internal/UseRates.h
@@ -20,17 +20,17 @@
   void note(TimePoint now, const OrganisationId &organisation);
   /// The organisation's uses, which decay exponentially with their age.
   double of(TimePoint now, const OrganisationId &organisation) const;
-  std::size_t size() const { return Uses.size(); }
+  std::size_t size() const { return Counts.size(); }
 
 private:
-  struct Use {
+  struct DecayedCount {
     double Weight = 0;
     TimePoint At{};
   };
 
-  static double weightAt(TimePoint now, const Use &use);
+  static double weightAt(TimePoint now, const DecayedCount &count);
 
-  std::map<OrganisationId, Use> Uses;
+  std::map<OrganisationId, DecayedCount> Counts;
 };
 
 } // namespace stepledge::proxy
--- a/src/proxy/tests/LenderTest.cpp
+++ b/src/proxy/tests/LenderTest.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// A pool with one connection to one instance.
-class OnePool : public ILendablePool {
+class SingleConnectionPool : public ILendablePool {
 public:
   InstanceConnection *
   findLendable(TimePoint now, const std::string &service,
@@ -32,35 +32,35 @@
                const InstanceId &instance) override {
     (void)service;
     (void)instance;
-    return IsReached;
+    return IsReachable;
   }
   bool isSilentSince(const std::string &service, const InstanceId &instance,
                      TimePoint sentAt) override {
     (void)service;
     (void)instance;
     (void)sentAt;
-    return !IsReached;
+    return !IsReachable;
   }
   bool expectsFree(TimePoint now, const InstanceId &instance) override {
     (void)now;
     (void)instance;
-    return IsExpected;
+    return IsFreeExpected;
   }
   int usableAt(TimePoint now, const std::string &service,
                const InstanceId &instance) override {
     (void)now;
     (void)service;
     (void)instance;
-    return Working;
+    return UsableConnections;
   }
   LendingRoom roomAt(TimePoint now, const std::string &service,
                      const InstanceId &instance) override {
     (void)now;
     (void)service;
     (void)instance;
-    LendingRoom room;
-    room.Own = HasConnection;
-    return room;
+    LendingRoom capacity;
+    capacity.OwnConnections = HasConnection;
+    return capacity;
   }
   InstanceConnection *connection(ConnectionId id) override {
     return id == Connection.Id ? &Connection : nullptr;
@@ -75,7 +75,7 @@
   void takeBack(TimePoint now, InstanceConnection &connection) override {
     (void)now;
     (void)connection;
-    ++TakenBack;
+    ++ReturnCount;
   }
   void abandonLent(TimePoint now, InstanceConnection &connection) override {
     (void)now;
@@ -84,11 +84,11 @@
 
   InstanceConnection Connection;
   std::vector<InstanceCommand> Sent;
-  int TakenBack = 0;
+  int ReturnCount = 0;
   bool HasConnection = true;
-  int Working = 1;
-  bool IsReached = true;
-  bool IsExpected = true;
+  int UsableConnections = 1;
+  bool IsReachable = true;
+  bool IsFreeExpected = true;
 };
 
 struct Fixture {
@@ -97,7 +97,7 @@
     Pool.Connection.IsReady = true;
   }
 
-  void ask(std::uint64_t use, bool isFirst, const char *id,
+  void ask(std::uint64_t number, bool isFirst, const char *id,
            CommandKind kind = CommandKind::ClientText) {
     BorrowRequest request;
     request.Service = isFirst ? "db" : "";
@@ -107,27 +107,27 @@
     command.Kind = kind;
     command.Id = id;
     request.Commands.push_back(command);
-    Lending.ask(Now, {"10.0.0.9", use}, request);
+    Lending.ask(Now, {"10.0.0.9", number}, request);
   }
 
-  void askFor(std::uint64_t use, int priority, Duration objective,
-              Duration age = {}) {
+  void askWithObjective(std::uint64_t number, int priority, Duration objective,
+                        Duration age = {}) {
     BorrowRequest request;
     request.Service = "db";
     request.Instance = InstanceId("i");
     request.IsFirst = true;
     request.Commands.emplace_back();
     request.Commands.back().Kind = CommandKind::ClientText;
-    request.Commands.back().Id = std::to_string(use);
+    request.Commands.back().Id = std::to_string(number);
     request.Needs.Rank = {priority, objective, Now - age, {}};
-    Lending.ask(Now, {"10.0.0.9", use}, request);
+    Lending.ask(Now, {"10.0.0.9", number}, request);
   }
 
   /// Runs borrows of 40 ms each one after the other, then removes the
   /// connection.
-  void learn() {
-    for (std::uint64_t use = 1000; use < 1050; ++use) {
-      askFor(use, 1, milliseconds(250));
+  void learnHoldTime() {
+    for (std::uint64_t number = 1000; number < 1050; ++number) {
+      askWithObjective(number, 1, milliseconds(250));
       Now += milliseconds(40);
       answer(SessionState::Idle);
       // The connection is idle in between, so that it isn't fully used.
@@ -136,8 +136,8 @@
     Pool.HasConnection = false;
   }
 
-  bool isRefused(std::uint64_t use) {
-    return Io.Ended.contains({"10.0.0.9", use});
+  bool isRefused(std::uint64_t number) {
+    return Io.Ended.contains({"10.0.0.9", number});
   }
 
   void answer(SessionState state) {
@@ -149,9 +149,9 @@
   }
 
   tests::FakeIo Io;
-  OnePool Pool;
-  scheduling::ServingLine Line;
-  Lender Lending{Pool, Io, Io, Line};
+  SingleConnectionPool Pool;
+  scheduling::ServingLine Scheduler;
+  Lender Lending{Pool, Io, Io, Scheduler};
   TimePoint Now = TimePoint(std::chrono::seconds(1));
 };
 
@@ -166,9 +166,9 @@
   it.ask(1, false, "a");
   it.answer(SessionState::InTransaction);
   it.ask(1, false, "", CommandKind::Rollback);
-  CHECK(it.Pool.TakenBack == 0);
+  CHECK(it.Pool.ReturnCount == 0);
   it.answer(SessionState::Idle);
-  CHECK(it.Pool.TakenBack == 1);
+  CHECK(it.Pool.ReturnCount == 1);
   it.Lending.tick(it.Now);
   REQUIRE(it.Pool.Sent.size() == 4);
   CHECK(it.Pool.Sent.back().Id == "b");
@@ -190,14 +190,14 @@
   Fixture it;
   it.ask(1, true, "", CommandKind::Begin);
   it.answer(SessionState::InTransaction);
-  it.Pool.IsReached = false;
+  it.Pool.IsReachable = false;
   it.Lending.tick(it.Now);
   // No answer is pending, so the borrower doesn't wait.
   CHECK(it.Io.Ended.empty());
   it.ask(1, false, "a");
   it.Lending.tick(it.Now);
   CHECK(it.Io.Ended.empty());
-  it.Now += LenderOptions().SilentAfter;
+  it.Now += LenderOptions().SilenceTimeout;
   it.Lending.tick(it.Now);
   CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Silent);
   // An answer that still arrives is passed on to the borrower.
@@ -216,7 +216,7 @@
   REQUIRE(it.Io.Lent[{"10.0.0.9", 1}].size() == 1);
   CHECK(it.Io.Lent[{"10.0.0.9", 1}].front().Code == ReplyCode::Busy);
   CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Full);
-  it.Pool.IsReached = false;
+  it.Pool.IsReachable = false;
   it.ask(2, true, "b");
   CHECK(it.Io.Ended[{"10.0.0.9", 2}] == LendingEnd::Unreachable);
   it.Lending.stop();
@@ -255,7 +255,7 @@
   Fixture it;
   it.ask(1, true, "", CommandKind::Begin);
   it.answer(SessionState::InTransaction);
-  it.Pool.IsExpected = false;
+  it.Pool.IsFreeExpected = false;
   it.ask(2, true, "b");
   CHECK(it.Io.Ended[{"10.0.0.9", 2}] == LendingEnd::Full);
 }
@@ -264,9 +264,9 @@
 // their clients' statements because of it.
 TEST_CASE("Lender_TellsNoWaitWhereAllConnectionsRestInTransactions") {
   Fixture it;
-  it.learn();
-  it.Pool.IsExpected = false;
-  it.askFor(1, 1, milliseconds(250));
+  it.learnHoldTime();
+  it.Pool.IsFreeExpected = false;
+  it.askWithObjective(1, 1, milliseconds(250));
   CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Full);
   CHECK(it.Io.ToldWaits[{"10.0.0.9", 1}] == Duration{});
 }
@@ -274,15 +274,15 @@
 TEST_CASE("Lender_RefusesAtOnceABorrowerThatHasItsOwnToWaitFor") {
   Fixture it;
   it.Pool.HasConnection = false;
-  it.Pool.IsExpected = true;
-  const auto ask = [&](std::uint64_t use, bool needsFreeNow) {
+  it.Pool.IsFreeExpected = true;
+  const auto ask = [&](std::uint64_t number, bool needsFreeNow) {
     BorrowRequest request;
     request.Service = "db";
     request.Instance = InstanceId("i");
     request.IsFirst = true;
     request.Needs.NeedsFreeNow = needsFreeNow;
     request.Commands.emplace_back();
-    it.Lending.ask(it.Now, {"10.0.0.9", use}, request);
+    it.Lending.ask(it.Now, {"10.0.0.9", number}, request);
   };
   ask(1, true);
   CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Full);
@@ -292,7 +292,7 @@
 
 TEST_CASE("Lender_TellsWhyBeforeItRefuses") {
   Fixture it;
-  it.Pool.IsReached = false;
+  it.Pool.IsReachable = false;
   it.ask(1, true, "a");
   // A borrower that received the replies first would ask this lender again.
   CHECK(it.Io.Told == std::vector<std::string>{"end", "reply"});
@@ -300,11 +300,12 @@
 
 TEST_CASE("Lender_ServesTheOrganisationThatHasHadLeast") {
   Fixture it;
-  it.Line.setRates({{OrganisationId("red"), 10}, {OrganisationId("blue"), 10}});
-  it.Line.noteUse(it.Now, {"db", InstanceId("i")}, OrganisationId("red"),
-                  milliseconds(20));
+  it.Scheduler.setRates(
+      {{OrganisationId("red"), 10}, {OrganisationId("blue"), 10}});
+  it.Scheduler.noteUse(it.Now, {"db", InstanceId("i")}, OrganisationId("red"),
+                       milliseconds(20));
   it.Pool.HasConnection = false;
-  const auto ask = [&](std::uint64_t use, const char *organisation) {
+  const auto ask = [&](std::uint64_t number, const char *organisation) {
     BorrowRequest request;
     request.Service = "db";
     request.Instance = InstanceId("i");
@@ -313,7 +314,7 @@
     request.Commands.back().Id = organisation;
     request.Needs.Rank = {1, milliseconds(150), it.Now,
                           OrganisationId(organisation)};
-    it.Lending.ask(it.Now, {"10.0.0.9", use}, request);
+    it.Lending.ask(it.Now, {"10.0.0.9", number}, request);
   };
   ask(1, "red");
   ask(2, "blue");
@@ -325,16 +326,16 @@
 TEST_CASE("Lender_ServesTheMostUrgentFirstUnderOverload") {
   Fixture it;
   it.Pool.HasConnection = false;
-  const auto ask = [&](std::uint64_t use, int priority, Duration objective,
+  const auto ask = [&](std::uint64_t number, int priority, Duration objective,
                        Duration age) {
     BorrowRequest request;
     request.Service = "db";
     request.Instance = InstanceId("i");
     request.IsFirst = true;
     request.Commands.emplace_back();
-    request.Commands.back().Id = std::to_string(use);
+    request.Commands.back().Id = std::to_string(number);
     request.Needs.Rank = {priority, objective, it.Now - age, {}};
-    it.Lending.ask(it.Now, {"10.0.0.9", use}, request);
+    it.Lending.ask(it.Now, {"10.0.0.9", number}, request);
   };
   ask(1, 2, milliseconds(500), milliseconds(140));
   ask(2, 2, milliseconds(250), milliseconds(20));
@@ -353,32 +354,32 @@
 
 TEST_CASE("Lender_RefusesAtOnceWhatItCouldNotServeInTime") {
   Fixture it;
-  it.learn();
-  std::uint64_t use = 1;
-  while (use < 30 && !it.isRefused(use)) {
-    it.askFor(++use, 0, milliseconds(240));
+  it.learnHoldTime();
+  std::uint64_t number = 1;
+  while (number < 30 && !it.isRefused(number)) {
+    it.askWithObjective(++number, 0, milliseconds(240));
     // Nothing was sent, and no time has passed.
     REQUIRE(it.Pool.Sent.size() == 50);
   }
   // The queue takes about 240 ms of borrows of 40 ms each, and as many late
   // ones.
-  CHECK(use > 4);
-  CHECK(use < 14);
-  CHECK(it.Io.Ended[{"10.0.0.9", use}] == LendingEnd::Full);
-  CHECK(it.Io.ToldWaits[{"10.0.0.9", use}] > milliseconds(100));
+  CHECK(number > 4);
+  CHECK(number < 14);
+  CHECK(it.Io.Ended[{"10.0.0.9", number}] == LendingEnd::Full);
+  CHECK(it.Io.ToldWaits[{"10.0.0.9", number}] > milliseconds(100));
   CHECK(it.Io.Lines.back().find("expected_wait_ms=") != std::string::npos);
   // A borrow with a longer objective is still queued.
-  it.askFor(100, 0, milliseconds(1200));
+  it.askWithObjective(100, 0, milliseconds(1200));
   CHECK(!it.isRefused(100));
 }
 
 TEST_CASE("Lender_FloodOfOnePriorityLeavesRoomForTheMoreUrgent") {
   Fixture it;
-  it.learn();
-  for (std::uint64_t use = 1; use < 60; ++use)
-    it.askFor(use, 2, milliseconds(250));
+  it.learnHoldTime();
+  for (std::uint64_t number = 1; number < 60; ++number)
+    it.askWithObjective(number, 2, milliseconds(250));
   REQUIRE(it.isRefused(59));
-  it.askFor(100, 0, milliseconds(250));
+  it.askWithObjective(100, 0, milliseconds(250));
   CHECK(!it.isRefused(100));
   it.Pool.HasConnection = true;
   it.Lending.tick(it.Now);
@@ -387,11 +388,11 @@
 
 TEST_CASE("Lender_LateUseWaitsBehindTheOthers") {
   Fixture it;
-  it.learn();
+  it.learnHoldTime();
   // It can be answered, but not in time.
-  it.askFor(1, 0, milliseconds(200), milliseconds(190));
+  it.askWithObjective(1, 0, milliseconds(200), milliseconds(190));
   REQUIRE(!it.isRefused(1));
-  it.askFor(2, 1, milliseconds(250));
+  it.askWithObjective(2, 1, milliseconds(250));
   REQUIRE(!it.isRefused(2));
   it.Pool.HasConnection = true;
   it.Lending.tick(it.Now);
@@ -403,13 +404,13 @@
 
 TEST_CASE("Lender_NothingWaitsBehindWhatItCannotOutlive") {
   Fixture it;
-  it.learn();
-  it.Pool.Working = 8;
-  for (std::uint64_t use = 1; use <= 16; ++use)
-    it.askFor(use, 0, milliseconds(240));
+  it.learnHoldTime();
+  it.Pool.UsableConnections = 8;
+  for (std::uint64_t number = 1; number <= 16; ++number)
+    it.askWithObjective(number, 0, milliseconds(240));
   REQUIRE(it.Io.Ended.empty());
   // All connections but one are lost.
-  it.Pool.Working = 1;
+  it.Pool.UsableConnections = 1;
   it.Lending.tick(it.Now);
   CHECK(it.Io.Ended.size() > 2);
   CHECK(it.Io.Ended.size() < 14);
@@ -417,24 +418,24 @@
 
 TEST_CASE("Lender_UseWithoutAnObjectiveWaitsAsEver") {
   Fixture it;
-  it.learn();
-  for (std::uint64_t use = 1; use <= 40; ++use)
-    it.askFor(use, 0, {});
+  it.learnHoldTime();
+  for (std::uint64_t number = 1; number <= 40; ++number)
+    it.askWithObjective(number, 0, {});
   CHECK(it.Io.Ended.empty());
-  it.Lending.tick(it.Now + LenderOptions().QueueLimit);
+  it.Lending.tick(it.Now + LenderOptions().QueueTimeout);
   CHECK(it.Io.Ended.empty());
-  it.Lending.tick(it.Now + LenderOptions().QueueLimit + milliseconds(1));
+  it.Lending.tick(it.Now + LenderOptions().QueueTimeout + milliseconds(1));
   CHECK(it.Io.Ended.size() == 40);
 }
 
 TEST_CASE("Lender_TellsNoWaitBeforeItKnowsOne") {
   Fixture it;
   it.Pool.HasConnection = false;
-  for (std::uint64_t use = 1; use <= 20; ++use)
-    it.askFor(use, 0, milliseconds(1200));
-  it.Lending.tick(it.Now + LenderOptions().QueueLimit);
+  for (std::uint64_t number = 1; number <= 20; ++number)
+    it.askWithObjective(number, 0, milliseconds(1200));
+  it.Lending.tick(it.Now + LenderOptions().QueueTimeout);
   CHECK(it.Io.Ended.empty());
-  it.Lending.tick(it.Now + LenderOptions().QueueLimit + milliseconds(1));
+  it.Lending.tick(it.Now + LenderOptions().QueueTimeout + milliseconds(1));
   REQUIRE(it.Io.Ended.size() == 20);
   CHECK(it.Io.ToldWaits[{"10.0.0.9", 1}] == Duration{});
 }
--- a/src/proxy/tests/LoadShedderTest.cpp
+++ b/src/proxy/tests/LoadShedderTest.cpp
@@ -16,40 +16,40 @@
 constexpr double Overload = 3.0;
 
 /// A shedder whose probe at \p Start is used up.
-LoadShedder probed() {
+LoadShedder shedderWithUsedProbe() {
   LoadShedder shedder;
   shedder.notePrimaryNeeded(Start, "db");
-  CHECK(!shedder.sheds(Start, "db", Overload, false));
+  CHECK(!shedder.shouldShed(Start, "db", Overload, false));
   return shedder;
 }
 
 } // namespace
 
 TEST_CASE("LoadShedder_ShedsWhileThePrimaryIsNeededAndOverloaded") {
-  auto shedder = probed();
-  CHECK(shedder.sheds(Start, "db", Overload, false));
-  CHECK(!shedder.sheds(Start, "db", 1.0, false));
-  CHECK(!shedder.sheds(Start, "other", Overload, false));
+  auto shedder = shedderWithUsedProbe();
+  CHECK(shedder.shouldShed(Start, "db", Overload, false));
+  CHECK(!shedder.shouldShed(Start, "db", 1.0, false));
+  CHECK(!shedder.shouldShed(Start, "other", Overload, false));
 }
 
 TEST_CASE("LoadShedder_QueueLowersTheLimit") {
-  auto shedder = probed();
-  CHECK(!shedder.sheds(Start, "db", 1.5, false));
-  CHECK(shedder.sheds(Start, "db", 1.5, true));
+  auto shedder = shedderWithUsedProbe();
+  CHECK(!shedder.shouldShed(Start, "db", 1.5, false));
+  CHECK(shedder.shouldShed(Start, "db", 1.5, true));
 }
 
 TEST_CASE("LoadShedder_PrimaryThatNobodyNeedsIsOpenToAll") {
-  auto shedder = probed();
-  CHECK(!shedder.sheds(Start + milliseconds(1100), "db", Overload, true));
+  auto shedder = shedderWithUsedProbe();
+  CHECK(!shedder.shouldShed(Start + milliseconds(1100), "db", Overload, true));
 }
 
 TEST_CASE("LoadShedder_LetsOneProbeThroughInEachInterval") {
-  auto shedder = probed();
+  auto shedder = shedderWithUsedProbe();
   int shed = 0;
   for (int i = 1; i <= 100; ++i) {
     const TimePoint now = Start + milliseconds(50) * i;
     shedder.notePrimaryNeeded(now, "db");
-    shed += shedder.sheds(now, "db", Overload, false);
+    shed += shedder.shouldShed(now, "db", Overload, false);
   }
   // In five seconds with a read every 50 ms, five go through.
   CHECK(shed == 95);
--- a/src/proxy/tests/OverloadTest.cpp
+++ b/src/proxy/tests/OverloadTest.cpp
@@ -26,7 +26,7 @@
 
 /// Sends a bounded read that a replica refuses since it is behind; returns the
 /// replica.
-std::string readThatAReplicaRefuses(Fixture &it, const char *text) {
+std::string sendReadThatReplicaRefuses(Fixture &it, const char *text) {
   it.ask(it.connect("bounded"), StatementKind::Read, text);
   const auto carrier = it.carrierOf(text);
   REQUIRE(carrier);
@@ -36,7 +36,7 @@
   return replica;
 }
 
-std::size_t sendingsTo(Fixture &it, const std::string &prefix) {
+std::size_t statementsSentTo(Fixture &it, const std::string &prefix) {
   std::size_t n = 0;
   for (const auto &[id, commands] : it.Io.Sent)
     for (const auto &command : commands)
@@ -92,7 +92,7 @@
 
 /// Sends a write to a VM whose connections to the primary are all in
 /// transactions.
-void askWithoutAFreeConnection(Fixture &it) {
+void sendWriteWithoutFreeConnection(Fixture &it) {
   it.warmUp();
   shareWithFourVms(it);
   openTransaction(it, "WRITE a 1");
@@ -118,7 +118,7 @@
 
 /// Sends a bounded read to the proxy; answers it and returns true if it reached
 /// an instance.
-bool readAtThePrimary(Fixture &it, const std::string &text) {
+bool tryBoundedRead(Fixture &it, const std::string &text) {
   it.ask(it.connect("bounded"), StatementKind::Read, text.c_str());
   for (int n = 0; n < 10 && !it.carrierOf(text); ++n) {
     it.advance(milliseconds(2));
@@ -131,7 +131,7 @@
   return carrier.has_value();
 }
 
-void takeReplicasAway(Fixture &it) {
+void removeReplicas(Fixture &it) {
   for (const char *id : {"r1", "r2"}) {
     membership::InstanceRecord record;
     record.Id = InstanceId(id);
@@ -168,7 +168,7 @@
   it.warmUp();
   runWrites(it, "current", 40, milliseconds(5));
   runWrites(it, "current", 20, milliseconds(60));
-  takeReplicasAway(it);
+  removeReplicas(it);
 }
 
 } // namespace
@@ -176,17 +176,17 @@
 TEST_CASE("Overload_ReplicaThatLacksThePositionIsNotAskedAgainAtOnce") {
   Fixture it;
   it.connectReplicas();
-  const auto replica = readThatAReplicaRefuses(it, "READ first");
+  const auto replica = sendReadThatReplicaRefuses(it, "READ first");
   it.ask(it.connect("bounded"), StatementKind::Read, "READ second");
   it.advance(milliseconds(10));
   it.answerOwn(markOf(3, 100));
-  CHECK(sendingsTo(it, replica) == 0);
+  CHECK(statementsSentTo(it, replica) == 0);
 }
 
 TEST_CASE("Overload_ReplicaThatWasBehindIsAskedAgainAfterAPause") {
   Fixture it;
   it.connectReplicas();
-  const auto replica = readThatAReplicaRefuses(it, "READ first");
+  const auto replica = sendReadThatReplicaRefuses(it, "READ first");
   it.advance(milliseconds(30));
   it.answerOwn(markOf(3, 100));
   for (const char *text : {"READ second", "READ third", "READ fourth"}) {
@@ -194,12 +194,12 @@
     it.advance(milliseconds(30));
     it.answerOwn(markOf(3, 100));
   }
-  CHECK(sendingsTo(it, replica) >= 1);
+  CHECK(statementsSentTo(it, replica) >= 1);
 }
 
 TEST_CASE("Overload_VmWhoseConnectionsAreAllInTransactionsBorrows") {
   Fixture it;
-  askWithoutAFreeConnection(it);
+  sendWriteWithoutFreeConnection(it);
   const auto carrier = it.carrierOf("WRITE c 1");
   REQUIRE(carrier);
   CHECK(it.Io.Opened.at(*carrier).isBorrowed());
@@ -229,7 +229,7 @@
 
 TEST_CASE("Overload_LendersRefusalIsNoReasonToPause") {
   Fixture it;
-  askWithoutAFreeConnection(it);
+  sendWriteWithoutFreeConnection(it);
   const auto first = it.carrierOf("WRITE c 1");
   REQUIRE(first);
   it.Core.lenderRefused(it.Now, *first, LendingEnd::Full);
@@ -243,7 +243,7 @@
 TEST_CASE("Overload_BoundedReadsKeepOffACongestedPrimary") {
   Fixture it;
   congestPrimary(it);
-  readAtThePrimary(it, "READ through");
+  tryBoundedRead(it, "READ through");
   const auto late = it.connect("bounded");
   it.ask(late, StatementKind::Read, "READ later");
   it.ask(it.connect("own"), StatementKind::Read, "READ own");
@@ -262,7 +262,7 @@
 TEST_CASE("Overload_ReadOnlyTransactionsKeepOffACongestedPrimary") {
   Fixture it;
   congestPrimary(it);
-  readAtThePrimary(it, "READ through");
+  tryBoundedRead(it, "READ through");
   const auto reader = it.connect("own");
   it.ask(reader, StatementKind::BeginRead, "BEGIN READ");
   it.ask(reader, StatementKind::Read, "READ many");
@@ -284,8 +284,8 @@
   congestPrimary(it);
   it.advance(milliseconds(1100));
   it.answerOwn(markOf(3, 100));
-  CHECK(readAtThePrimary(it, "READ first"));
-  CHECK(readAtThePrimary(it, "READ second"));
+  CHECK(tryBoundedRead(it, "READ first"));
+  CHECK(tryBoundedRead(it, "READ second"));
 }
 
 TEST_CASE("Overload_SomeBoundedReadsAreLetThroughAllTheSame") {
@@ -293,7 +293,7 @@
   congestPrimary(it);
   int served = 0;
   for (int i = 0; i < 30; ++i) {
-    served += readAtThePrimary(it, "READ " + std::to_string(i));
+    served += tryBoundedRead(it, "READ " + std::to_string(i));
     runWrites(it, "current", 1, milliseconds(80));
   }
   // One per second while the congestion lasts.
--- a/src/proxy/tests/ProxyBorrowingTest.cpp
+++ b/src/proxy/tests/ProxyBorrowingTest.cpp
@@ -271,20 +271,21 @@
   statement.Kind = StatementKind::Write;
   statement.Text = "WRITE x 1";
   it.Core.clientAsked(it.Now, client, statement);
-  const auto openTo = [&](bool isBorrowed) -> std::optional<ConnectionId> {
+  const auto connectionTo =
+      [&](bool isBorrowed) -> std::optional<ConnectionId> {
     for (const auto &[id, target] : it.Io.Opened)
       if (target.Instance == InstanceId("p2") &&
           target.isBorrowed() == isBorrowed)
         return id;
     return std::nullopt;
   };
-  const auto own = openTo(false);
+  const auto own = connectionTo(false);
   REQUIRE(own);
   it.Core.connectionReady(it.Now, *own,
                           Fixture::refusal(ReplyCode::TooManyConnections));
   it.Now += milliseconds(30);
   it.Core.tick(it.Now);
-  const auto borrowed = openTo(true);
+  const auto borrowed = connectionTo(true);
   REQUIRE(borrowed);
   it.Core.connectionReady(it.Now, *borrowed, {});
   CHECK(it.carrierOf("WRITE x 1") == borrowed);
@@ -292,7 +293,7 @@
   // one.
   it.Now += milliseconds(150);
   it.Core.tick(it.Now);
-  CHECK(openTo(false));
+  CHECK(connectionTo(false));
 }
 
 TEST_CASE("Proxy_RefusalOfALenderIsNoAnswerOfTheInstance") {
--- a/src/proxy/tests/SharedLimitTest.cpp
+++ b/src/proxy/tests/SharedLimitTest.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr int Most = 4;
+constexpr int Max = 4;
 
 } // namespace
 
 TEST_CASE("SharedLimit_FallsWhereOthersFillTheQueue") {
   // Six times the usual time: a queue that this VM's own statements don't
   // cause.
-  SharedLimit limit(Most);
+  SharedLimit limit(Max);
   for (int i = 0; i < 60; ++i)
     limit.noteAnswer(6.0, 1);
   CHECK(limit.limit() == 1);
@@ -28,24 +28,24 @@
 }
 
 TEST_CASE("SharedLimit_RisesAgainOnceTheQueueIsGone") {
-  SharedLimit limit(Most);
+  SharedLimit limit(Max);
   for (int i = 0; i < 60; ++i)
     limit.noteAnswer(6.0, 1);
   for (int i = 0; i < 80; ++i)
     limit.noteAnswer(1.0, limit.limit());
-  CHECK(limit.limit() == Most);
+  CHECK(limit.limit() == Max);
 }
 
 TEST_CASE("SharedLimit_OrdinaryVariationIsNoQueue") {
-  SharedLimit limit(Most);
+  SharedLimit limit(Max);
   for (int i = 0; i < 200; ++i)
     limit.noteAnswer(i % 2 == 0 ? 0.3 : 2.2, 2);
-  CHECK(limit.limit() == Most);
+  CHECK(limit.limit() == Max);
 }
 
 TEST_CASE("SharedLimit_LastingSlownessBecomesUsual") {
   // A permanently slower instance must not stay limited to one statement.
-  SharedLimit limit(Most);
+  SharedLimit limit(Max);
   for (int i = 0; i < 3000; ++i)
     limit.noteAnswer(6.0, 1);
   CHECK(limit.congestion() < 3.0);
