--- a/src/proxy/tests/LenderTest.cpp
+++ b/src/proxy/tests/LenderTest.cpp
@@ -174,7 +174,7 @@
   CHECK(it.Pool.Sent.back().Id == "b");
 }
 
-TEST_CASE("Lender_CommandOfAnEndedUseNeverRuns") {
+TEST_CASE("Lender_DoesNotRunCommandsOfAnEndedBorrow") {
   Fixture it;
   it.ask(1, true, "", CommandKind::Begin);
   it.answer(SessionState::InTransaction);
@@ -186,7 +186,7 @@
   CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Lost);
 }
 
-TEST_CASE("Lender_TellsABorrowerThatTheInstanceIsSilent") {
+TEST_CASE("Lender_ReportsASilentInstanceToItsBorrower") {
   Fixture it;
   it.ask(1, true, "", CommandKind::Begin);
   it.answer(SessionState::InTransaction);
@@ -206,7 +206,7 @@
   CHECK(it.Io.Lent[{"10.0.0.9", 1}].size() == answers + 1);
 }
 
-TEST_CASE("Lender_RefusesAsNotRunWhatItNeverSent") {
+TEST_CASE("Lender_RefusesUnsentCommandsAsNotRun") {
   Fixture it;
   it.Pool.HasConnection = false;
   it.ask(1, true, "a");
@@ -225,7 +225,7 @@
   CHECK(it.Pool.Sent.empty());
 }
 
-TEST_CASE("Lender_BorrowerThatGoesLeavesNothingOpen") {
+TEST_CASE("Lender_AbandonsTheConnectionOfAGoneBorrower") {
   Fixture it;
   it.ask(1, true, "", CommandKind::Begin);
   it.Lending.endAll(it.Now, "10.0.0.9");
@@ -234,7 +234,7 @@
   CHECK(!it.Lending.isLending());
 }
 
-TEST_CASE("Lender_AUseThatWaitedTwiceIsSentOnce") {
+TEST_CASE("Lender_SendsABorrowThatWasQueuedTwiceOnce") {
   Fixture it;
   it.Pool.HasConnection = false;
   it.ask(1, true, "a");
@@ -251,7 +251,7 @@
   CHECK(it.Pool.Sent.size() == 1);
 }
 
-TEST_CASE("Lender_RefusesAtOnceWhereAllConnectionsRestInTransactions") {
+TEST_CASE("Lender_RefusesAtOnceWhileAllConnectionsAreIdleInTransactions") {
   Fixture it;
   it.ask(1, true, "", CommandKind::Begin);
   it.answer(SessionState::InTransaction);
@@ -262,7 +262,7 @@
 
 // Guards against a reported wait that was never measured: borrowers refused
 // their clients' statements because of it.
-TEST_CASE("Lender_TellsNoWaitWhereAllConnectionsRestInTransactions") {
+TEST_CASE("Lender_ReportsNoWaitWhileAllConnectionsAreIdleInTransactions") {
   Fixture it;
   it.learnHoldTime();
   it.Pool.IsFreeExpected = false;
@@ -271,7 +271,7 @@
   CHECK(it.Io.ToldWaits[{"10.0.0.9", 1}] == Duration{});
 }
 
-TEST_CASE("Lender_RefusesAtOnceABorrowerThatHasItsOwnToWaitFor") {
+TEST_CASE("Lender_RefusesAtOnceABorrowerThatNeedsAFreeConnectionNow") {
   Fixture it;
   it.Pool.HasConnection = false;
   it.Pool.IsFreeExpected = true;
@@ -290,7 +290,7 @@
   CHECK(!it.Io.Ended.contains({"10.0.0.9", 2}));
 }
 
-TEST_CASE("Lender_TellsWhyBeforeItRefuses") {
+TEST_CASE("Lender_SendsTheReasonBeforeTheReplies") {
   Fixture it;
   it.Pool.IsReachable = false;
   it.ask(1, true, "a");
@@ -298,7 +298,7 @@
   CHECK(it.Io.Told == std::vector<std::string>{"end", "reply"});
 }
 
-TEST_CASE("Lender_ServesTheOrganisationThatHasHadLeast") {
+TEST_CASE("Lender_ServesTheOrganisationUnderItsFairShareFirst") {
   Fixture it;
   it.Scheduler.setRates(
       {{OrganisationId("red"), 10}, {OrganisationId("blue"), 10}});
@@ -352,7 +352,7 @@
   CHECK(order == "4213");
 }
 
-TEST_CASE("Lender_RefusesAtOnceWhatItCouldNotServeInTime") {
+TEST_CASE("Lender_RefusesAtOnceABorrowThatCannotBeServedInTime") {
   Fixture it;
   it.learnHoldTime();
   std::uint64_t number = 1;
@@ -373,7 +373,7 @@
   CHECK(!it.isRefused(100));
 }
 
-TEST_CASE("Lender_FloodOfOnePriorityLeavesRoomForTheMoreUrgent") {
+TEST_CASE("Lender_FloodOfOnePriorityDoesNotBlockMoreUrgentBorrows") {
   Fixture it;
   it.learnHoldTime();
   for (std::uint64_t number = 1; number < 60; ++number)
@@ -386,7 +386,7 @@
   CHECK(it.Pool.Sent.back().Id == "100");
 }
 
-TEST_CASE("Lender_LateUseWaitsBehindTheOthers") {
+TEST_CASE("Lender_LateBorrowIsServedAfterTheOthers") {
   Fixture it;
   it.learnHoldTime();
   // It can be answered, but not in time.
@@ -402,7 +402,7 @@
   CHECK(it.Pool.Sent.back().Id == "1");
 }
 
-TEST_CASE("Lender_NothingWaitsBehindWhatItCannotOutlive") {
+TEST_CASE("Lender_RefusesQueuedBorrowsWhenConnectionsAreLost") {
   Fixture it;
   it.learnHoldTime();
   it.Pool.UsableConnections = 8;
@@ -416,7 +416,7 @@
   CHECK(it.Io.Ended.size() < 14);
 }
 
-TEST_CASE("Lender_UseWithoutAnObjectiveWaitsAsEver") {
+TEST_CASE("Lender_BorrowWithoutAnObjectiveWaitsForTheQueueTimeout") {
   Fixture it;
   it.learnHoldTime();
   for (std::uint64_t number = 1; number <= 40; ++number)
@@ -428,7 +428,7 @@
   CHECK(it.Io.Ended.size() == 40);
 }
 
-TEST_CASE("Lender_TellsNoWaitBeforeItKnowsOne") {
+TEST_CASE("Lender_ReportsNoWaitWithoutAnEstimate") {
   Fixture it;
   it.Pool.HasConnection = false;
   for (std::uint64_t number = 1; number <= 20; ++number)
--- a/src/proxy/tests/LoadShedderTest.cpp
+++ b/src/proxy/tests/LoadShedderTest.cpp
@@ -38,7 +38,7 @@
   CHECK(shedder.shouldShed(Start, "db", 1.5, true));
 }
 
-TEST_CASE("LoadShedder_PrimaryThatNobodyNeedsIsOpenToAll") {
+TEST_CASE("LoadShedder_DoesNotShedWithoutRecentNeedOfThePrimary") {
   auto shedder = shedderWithUsedProbe();
   CHECK(!shedder.shouldShed(Start + milliseconds(1100), "db", Overload, true));
 }
--- a/src/proxy/tests/OverloadTest.cpp
+++ b/src/proxy/tests/OverloadTest.cpp
@@ -227,7 +227,7 @@
   CHECK(ownConnectionsTo(it, "p") == 2);
 }
 
-TEST_CASE("Overload_LendersRefusalIsNoReasonToPause") {
+TEST_CASE("Overload_RefusalOfALenderDoesNotPauseTheStatement") {
   Fixture it;
   sendWriteWithoutFreeConnection(it);
   const auto first = it.carrierOf("WRITE c 1");
@@ -240,7 +240,7 @@
   CHECK(*second != *first);
 }
 
-TEST_CASE("Overload_BoundedReadsKeepOffACongestedPrimary") {
+TEST_CASE("Overload_BoundedReadsAreShedFromACongestedPrimary") {
   Fixture it;
   congestPrimary(it);
   tryBoundedRead(it, "READ through");
@@ -259,7 +259,7 @@
   CHECK(it.lastAnswer(late).Detail.find("overloaded") != std::string::npos);
 }
 
-TEST_CASE("Overload_ReadOnlyTransactionsKeepOffACongestedPrimary") {
+TEST_CASE("Overload_ReadOnlyTransactionsAreShedFromACongestedPrimary") {
   Fixture it;
   congestPrimary(it);
   tryBoundedRead(it, "READ through");
@@ -279,7 +279,8 @@
   CHECK(it.lastAnswer(reader).State == SessionState::Failed);
 }
 
-TEST_CASE("Overload_BoundedReadsUseACongestedPrimaryThatNobodyElseNeeds") {
+TEST_CASE(
+    "Overload_BoundedReadsUseACongestedPrimaryThatNoOtherStatementNeeds") {
   Fixture it;
   congestPrimary(it);
   it.advance(milliseconds(1100));
@@ -288,7 +289,7 @@
   CHECK(tryBoundedRead(it, "READ second"));
 }
 
-TEST_CASE("Overload_SomeBoundedReadsAreLetThroughAllTheSame") {
+TEST_CASE("Overload_SomeBoundedReadsAreLetThroughAsProbes") {
   Fixture it;
   congestPrimary(it);
   int served = 0;
@@ -301,7 +302,7 @@
   CHECK(served <= 5);
 }
 
-TEST_CASE("Overload_ReadWaitsAMomentBeforeItTurnsToAnotherHall") {
+TEST_CASE("Overload_ReadWaitsBrieflyBeforeItGoesToAnotherHall") {
   Fixture it;
   it.connectReplicas();
   // Of the three, only r1 stays in this VM's hall.
@@ -324,7 +325,7 @@
   CHECK(it.instanceOf(*carrier) != "r1");
 }
 
-TEST_CASE("Overload_ReadsStayInThePrimarysHallWhileItHasRoom") {
+TEST_CASE("Overload_ReadsStayInThePrimarysHallUntilThePrimaryIsCongested") {
   Fixture it;
   it.connectReplicas();
   moveToAnotherHall(it, "r1", membership::InstanceRole::Replica);
--- a/src/proxy/tests/ProxyBorrowingTest.cpp
+++ b/src/proxy/tests/ProxyBorrowingTest.cpp
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("Proxy_VmThatIsNoHomeClosesAConnectionThatOnlyItsQuestionsUse") {
+TEST_CASE("Proxy_NonHomeVmClosesAConnectionThatOnlyItsOwnQueriesUse") {
   Fixture it;
   it.warmUp();
   REQUIRE(ownAtPrimary(it) > 0);
@@ -88,7 +88,7 @@
   CHECK(ownAtPrimary(it) == 0);
 }
 
-TEST_CASE("Proxy_HomesLeaveRoomAtTheInstance") {
+TEST_CASE("Proxy_HomesLeaveConnectionsOfTheInstanceFree") {
   Fixture it;
   it.warmUp();
   control::Configuration configuration;
@@ -126,7 +126,7 @@
   CHECK(own == 4);
 }
 
-TEST_CASE("Proxy_HomeServesOthersWhileTransactionsRest") {
+TEST_CASE("Proxy_HomeOpensSpareConnectionsWhileTransactionsAreIdle") {
   Fixture it;
   it.warmUp();
   control::Configuration configuration;
@@ -164,7 +164,7 @@
   CHECK(ownAtPrimary(it) <= 7);
 }
 
-TEST_CASE("Proxy_HomeUsesTheRoomThatIsLeftRightAfterAStart") {
+TEST_CASE("Proxy_HomeOpensOnlyItsPartOfTheFreeConnectionsAfterAStart") {
   Fixture it;
   control::Configuration configuration;
   configuration.Version = 2;
@@ -296,7 +296,7 @@
   CHECK(connectionTo(false));
 }
 
-TEST_CASE("Proxy_RefusalOfALenderIsNoAnswerOfTheInstance") {
+TEST_CASE("Proxy_RefusalOfALenderDoesNotCountAsAnInstanceAnswer") {
   Fixture it;
   shareWithSixVms(it);
   const auto client = it.connect("current");
@@ -329,7 +329,7 @@
 
 } // namespace
 
-TEST_CASE("Proxy_TransactionIsAbortedWhereTheLenderHearsNothing") {
+TEST_CASE("Proxy_TransactionIsAbortedIfTheLenderReportsSilence") {
   Fixture it;
   const auto client = it.connect("current");
   const auto carrier = borrowForATransaction(it, client);
@@ -339,7 +339,7 @@
   CHECK(!it.Io.Opened.contains(carrier));
 }
 
-TEST_CASE("Proxy_CommitGoesOnWhereTheLenderHearsNothing") {
+TEST_CASE("Proxy_CommitContinuesIfTheLenderReportsSilence") {
   Fixture it;
   const auto client = it.connect("current");
   const auto carrier = borrowForATransaction(it, client);
@@ -351,7 +351,7 @@
   CHECK(it.lastAnswer(client).Code == ReplyCode::Success);
 }
 
-TEST_CASE("Proxy_SingleWriteGoesOnWhereTheLenderHearsNothing") {
+TEST_CASE("Proxy_SingleWriteContinuesIfTheLenderReportsSilence") {
   Fixture it;
   const auto client = it.connect("current");
   borrowForATransaction(it, client);
@@ -363,7 +363,7 @@
   CHECK(it.Io.Answers[other].empty());
 }
 
-TEST_CASE("Proxy_RefusesAtOnceWhatNoHomeHasRoomFor") {
+TEST_CASE("Proxy_RefusesAtOnceIfNoHomeHasCapacity") {
   Fixture it;
   borrowFromConnected(it);
   const auto first = it.connect("current");
@@ -391,7 +391,7 @@
   CHECK(it.carrierOf("WRITE z 1"));
 }
 
-TEST_CASE("Proxy_TurnsToTheHomeThatToldTheLeastWait") {
+TEST_CASE("Proxy_BorrowsFromTheHomeWithTheLeastReportedWait") {
   Fixture it;
   borrowFromConnected(it);
   it.ask(it.connect("current"), StatementKind::Write, "WRITE x 1");
@@ -412,7 +412,7 @@
   CHECK(it.Io.Opened.at(*last).LenderIp != full);
 }
 
-TEST_CASE("Proxy_LendersThatTellNoWaitAreTreatedAsEver") {
+TEST_CASE("Proxy_LenderThatReportsNoWaitIsAskedAgainAfterAPause") {
   Fixture it;
   borrowFromConnected(it);
   const auto client = it.connect("current");
@@ -423,7 +423,7 @@
   CHECK(it.carrierOf("WRITE x 1"));
 }
 
-TEST_CASE("Proxy_WriteWaitsForANewPrimaryAsLongAsEver") {
+TEST_CASE("Proxy_WriteWaitsForANewPrimaryUpToItsQueueLimit") {
   Fixture it;
   it.warmUp();
   membership::InstanceRecord record;
--- a/src/proxy/tests/SharedLimitTest.cpp
+++ b/src/proxy/tests/SharedLimitTest.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("SharedLimit_FallsWhereOthersFillTheQueue") {
+TEST_CASE("SharedLimit_FallsIfOtherVmsFillTheQueue") {
   // Six times the usual time: a queue that this VM's own statements don't
   // cause.
   SharedLimit limit(Max);
@@ -36,7 +36,7 @@
   CHECK(limit.limit() == Max);
 }
 
-TEST_CASE("SharedLimit_OrdinaryVariationIsNoQueue") {
+TEST_CASE("SharedLimit_OrdinaryVariationDoesNotLowerTheLimit") {
   SharedLimit limit(Max);
   for (int i = 0; i < 200; ++i)
     limit.noteAnswer(i % 2 == 0 ? 0.3 : 2.2, 2);
