--- a/src/proxy/internal/ConnectionPool.cpp
+++ b/src/proxy/internal/ConnectionPool.cpp
@@ -26,7 +26,7 @@
 InstanceConnection *ConnectionPool::findFirstFree(const InstanceId &instance,
                                                   Predicate isAllowed,
                                                   SecondKey secondKey) {
-  // NOTE: a borrowed one is the second choice: it costs another VM's time.
+  // NOTE: a borrowed connection comes second, since it costs the lender time.
   const auto key = [&](const InstanceConnection &it) {
     return std::pair(it.isBorrowed(), secondKey(it));
   };
@@ -46,7 +46,7 @@
   const auto isAllowed = [&](const InstanceConnection &it) {
     return it.Organisation == organisation && (usesDirect || it.isBorrowed());
   };
-  // NOTE: the lender of a borrowed one sets it up, whatever its values are.
+  // NOTE: the lender sets the session values of a borrowed connection.
   return findFirstFree(instance, isAllowed, [&](const auto &it) {
     return !it.isBorrowed() && it.Values != values;
   });
@@ -86,10 +86,10 @@
   const auto &ids = idsAt(instance);
   if (ids.empty())
     return false;
-  // NOTE: the connection that has served nobody for longest would often be that
-  // of an organisation which is back in a moment: where few organisations ask
-  // for much, 59 openings for 100 uses then, and 46 by the rate of use
-  // (ConnectionPool_FewOpeningsWhereFewAskForMuch).
+  // NOTE: the connection idle longest often belongs to an organisation that
+  // needs it again soon. Where few organisations cause most of the load,
+  // closing it costs 59 openings for 100 uses, and closing by the rate of use
+  // 46 (ConnectionPool_FewOpeningsWhereFewAskForMuch).
   const auto &rates = Rates[instance];
   const auto worth = [&](const InstanceConnection &it) {
     const double rate = it.Organisation ? rates.of(now, *it.Organisation) : 0;
@@ -116,7 +116,8 @@
   const bool isBorrowed = !lenderIp.empty();
   const int own = ownAt(instance.Id);
   const int open = isBorrowed ? countOf(instance.Id) - own : own;
-  // NOTE: one that takes the place of another needs no room at the instance.
+  // NOTE: a connection that replaces another needs no further capacity at the
+  // instance.
   const bool hasRoom =
       (isBorrowed || !isFull(now, instance.Id)) && open < share.Limit;
   if (!hasRoom && !makeRoom(now, instance.Id, isBorrowed, organisation))
--- a/src/proxy/internal/ConnectionPool.h
+++ b/src/proxy/internal/ConnectionPool.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The connections of one VM to all instances, within its shares.
+/// \file The connection pool of one VM: its connections to all instances,
+/// within its share of each.
 
 #ifndef STEPLEDGE_PROXY_INTERNAL_CONNECTIONPOOL_H
 #define STEPLEDGE_PROXY_INTERNAL_CONNECTIONPOOL_H
@@ -19,9 +20,9 @@
 
 /// How many connections to one instance a VM may hold.
 struct ConnectionShare {
-  /// Kept open also while idle.
+  /// Connections that stay open while idle.
   int Floor = 1;
-  /// Never more than these.
+  /// The most connections at any time.
   int Limit = 1;
 };
 
@@ -30,41 +31,42 @@
   explicit ConnectionPool(IProxyIo &io) : Io(io) {}
 
   InstanceConnection *find(ConnectionId id);
-  /// A free connection of \p organisation to \p instance; one with \p values
-  /// already set is preferred, since it needs no set-up. Those that
-  /// \p usesDirect rules out are own ones.
+  /// A free connection of \p organisation to \p instance, preferably one with
+  /// \p values already set, which needs no setup. Own connections are used only
+  /// if \p usesDirect.
   InstanceConnection *findFree(const InstanceId &instance,
                                const OrganisationId &organisation,
                                const SessionValues &values, bool usesDirect);
-  /// The free connection for the proxy's own questions that has rested longest,
-  /// so that they find out which have gone silent; \p usesDirect as for
-  /// findFree. Any own one will do, and a borrowed one if it was borrowed for
-  /// \p borrowedFor.
+  /// The free connection for the proxy's own probes that has been idle longest,
+  /// so that the probes detect silent connections; \p usesDirect as for
+  /// findFree. Any own connection is suitable, and a borrowed one if it was
+  /// borrowed for \p borrowedFor.
   InstanceConnection *
   findForQuestion(const InstanceId &instance, bool usesDirect,
                   const std::optional<OrganisationId> &borrowedFor);
-  /// A free connection of this VM's own, of \p organisation; without one, any.
+  /// A free own connection of \p organisation; of any if none is given.
   InstanceConnection *
   findFreeDirect(const InstanceId &instance,
                  const std::optional<OrganisationId> &organisation);
-  /// Opens one more for \p organisation, unless the share or an earlier refusal
-  /// forbids it. At the share's limit a free one of another organisation makes
-  /// room: of the one that has used the instance least of late.
+  /// Opens one more connection for \p organisation, unless the share or an
+  /// earlier refusal by the instance forbids it. At the limit of the share a
+  /// free connection of another organisation is closed for it: of the one with
+  /// the lowest recent rate of use of the instance.
   bool openOne(TimePoint now, const membership::InstanceRecord &instance,
                const ConnectionShare &share, const std::string &lenderIp,
                const std::optional<OrganisationId> &organisation);
-  /// \p connection is taken for a statement or transaction.
+  /// Records that \p connection is taken for a statement or transaction.
   void noteUse(TimePoint now, const InstanceConnection &connection);
-  /// Whether one that was asked for is still on its way.
+  /// Whether a connection was requested and isn't ready yet.
   bool isOpening(const InstanceId &instance) const;
   bool isOpening(const InstanceId &instance,
                  const std::optional<OrganisationId> &organisation) const;
   void close(ConnectionId id);
   void forget(ConnectionId id);
-  /// The instance has no room: no new connection before \p until.
+  /// Opens no new connection before \p until, since the instance refused one.
   void refuseUntil(const InstanceId &instance, TimePoint until);
   int countOf(const InstanceId &instance) const;
-  /// A copy, since handling one may change the pool.
+  /// A copy, since handling a connection may change the pool.
   std::set<ConnectionId> idsOf(const InstanceId &instance) const {
     return idsAt(instance);
   }
@@ -75,23 +77,25 @@
   int ownAt(const InstanceId &instance) const;
   int ownAt(const InstanceId &instance,
             const OrganisationId &organisation) const;
-  /// Since when this VM has had an own connection, if it has one.
+  /// When the oldest ready own connection was opened, if there is one.
   std::optional<TimePoint> ownSince(const InstanceId &instance) const;
-  /// The instance lately had no room for a new connection.
+  /// Whether the instance recently had no capacity for a new connection.
   bool isFull(TimePoint now, const InstanceId &instance) const;
-  /// How long no new connection may be opened, since the instance had no room.
+  /// How long no new connection may be opened yet, after the instance had no
+  /// capacity for one.
   Duration pauseLeft(TimePoint now, const InstanceId &instance) const;
   /// Own connections that the instance hasn't accepted yet.
   int openingAt(const InstanceId &instance) const;
   /// Connections that open transactions of \p organisation hold.
   int pinnedAt(const InstanceId &instance,
                const OrganisationId &organisation) const;
-  /// Own connections that open transactions have held without a statement since
-  /// \p since.
+  /// Own connections that are idle in a transaction, of this VM or a borrower,
+  /// since \p since or longer.
   int restingAt(const InstanceId &instance, TimePoint since) const;
-  /// Since when an answer is owed that proves whether \p instance leads.
+  /// Send time of the oldest unanswered command whose answer proves whether
+  /// \p instance is the primary.
   std::optional<TimePoint> provingSince(const InstanceId &instance) const;
-  /// Connections on which \p instance owes an answer.
+  /// Connections with commands that \p instance hasn't answered.
   int busyAt(const InstanceId &instance) const;
   /// The same without borrowed connections.
   int ownBusyAt(const InstanceId &instance) const;
@@ -104,12 +108,12 @@
   const std::set<ConnectionId> &idsAt(const InstanceId &instance) const;
   template <typename Predicate>
   int countIf(const InstanceId &instance, Predicate predicate) const;
-  /// Of the free connections that \p isAllowed, an own one with the least
-  /// \p secondKey; a borrowed one only where there is no own one.
+  /// Of the free connections that \p isAllowed accepts, the own one with the
+  /// least \p secondKey; a borrowed one only if there is no own one.
   template <typename Predicate, typename SecondKey>
   InstanceConnection *findFirstFree(const InstanceId &instance,
                                     Predicate isAllowed, SecondKey secondKey);
-  /// Closes a free connection that isn't \p organisation's; false if there is
+  /// Closes a free connection that isn't for \p organisation; false if there is
   /// none.
   bool makeRoom(TimePoint now, const InstanceId &instance, bool isBorrowed,
                 const std::optional<OrganisationId> &organisation);
@@ -118,16 +122,17 @@
   std::map<ConnectionId, InstanceConnection> Connections;
   std::map<InstanceId, std::set<ConnectionId>> ByInstance;
   std::map<InstanceId, TimePoint> RefusedUntil;
-  /// Of the instances with connections.
+  /// By instance; only instances with connections have an entry.
   std::map<InstanceId, UseRates> Rates;
   std::uint64_t LastId = 0;
 };
 
-/// The commands that give \p connection exactly \p values.
+/// The commands that set the session values of \p connection to \p values.
 std::vector<InstanceCommand> valueSetup(InstanceConnection &connection,
                                         const SessionValues &values);
 
-/// The connection's name of \p shape; prepares it first if needed.
+/// The name of \p shape on \p connection; where it isn't prepared there yet,
+/// the command for it is added to \p setup.
 std::string preparedName(InstanceConnection &connection,
                          const PreparedShape &shape,
                          std::vector<InstanceCommand> &setup);
--- a/src/proxy/internal/InstanceConnection.h
+++ b/src/proxy/internal/InstanceConnection.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file One connection to an instance: what it holds and what it was sent.
+/// \file One connection to an instance: its session state and the commands
+/// sent on it.
 
 #ifndef STEPLEDGE_PROXY_INTERNAL_INSTANCECONNECTION_H
 #define STEPLEDGE_PROXY_INTERNAL_INSTANCECONNECTION_H
@@ -18,17 +19,17 @@
 
 namespace stepledge::proxy {
 
-/// Why a command was sent, which says what to do with its answer.
+/// Why a command was sent, which decides how its answer is handled.
 enum class Purpose {
-  /// Brings the session's values and prepared statements along.
+  /// Applies the session's values and prepared statements.
   Setup,
-  /// Opens a transaction and proves the primary's lead.
+  /// Opens a transaction and proves that the instance is the primary.
   Begin,
   /// The client's own statement.
   Statement,
-  /// Ends the transaction that Begin opened; nobody waits for it.
+  /// Ends the transaction that Begin opened; no client waits for it.
   End,
-  /// Asks the primary for its position, outside any client's transaction.
+  /// Asks the primary for its log position, outside any client's transaction.
   Probe,
 };
 
@@ -37,7 +38,7 @@
   TimePoint SentAt{};
 };
 
-/// A prepared statement as the instance knows it, whatever clients call it.
+/// A prepared statement as the instance has it, independent of clients' names.
 struct PreparedShape {
   AccessMode Mode = AccessMode::Read;
   std::string Shape;
@@ -48,41 +49,43 @@
   ConnectionId Id;
   std::string Service;
   InstanceId Instance;
-  /// Whose statements it may carry, and nobody else's. Without one it carries
-  /// only the proxy's own questions.
+  /// The only organisation whose statements it may carry; if unset, it carries
+  /// only the proxy's own probes.
   std::optional<OrganisationId> Organisation;
-  /// The VM that lends one of its own, if any; what that one is set to is known
-  /// there.
+  /// The VM that lends one of its own connections, if any; the lender tracks
+  /// the session values of that connection.
   std::string LenderIp;
-  /// Its lender can't lend for now; it is closed once nothing is owed on it.
+  /// The lender can't lend for now; the connection is closed once all commands
+  /// on it are answered.
   bool IsRefused = false;
   TimePoint OpenedAt{};
   TimePoint LastUsed{};
-  /// When it last carried a client's statement or transaction; position
-  /// questions don't count.
+  /// When it last carried a client's statement or transaction; position probes
+  /// don't count.
   TimePoint LastServed{};
   /// The instance has accepted the connection.
   bool IsReady = false;
   /// The client whose statement or transaction it serves, if any.
   std::optional<ClientId> Owner;
-  /// The use of another VM that it is lent for.
+  /// The borrow of another VM that it is lent for.
   std::optional<BorrowKey> Borrower;
   /// It holds the owner's open transaction.
   bool IsPinned = false;
-  /// Nobody waits for what was sent; once answered, the connection is free.
+  /// No client waits for the commands in Sent; once they are answered, the
+  /// connection is free.
   bool IsAbandoned = false;
   SessionValues Values;
   std::map<PreparedShape, std::string> Prepared;
   std::deque<SentCommand> Sent;
 
-  /// Clients' statements among what was sent.
+  /// The number of clients' statements in Sent.
   int statements() const {
     return static_cast<int>(
         std::count_if(Sent.begin(), Sent.end(), [](const SentCommand &it) {
           return it.Reason == Purpose::Statement;
         }));
   }
-  /// Nobody waits any more for what was sent.
+  /// Detaches the client, which no longer waits for the commands in Sent.
   void giveUp() {
     Owner.reset();
     IsPinned = false;
--- a/src/proxy/internal/InstanceTracker.cpp
+++ b/src/proxy/internal/InstanceTracker.cpp
@@ -20,42 +20,43 @@
 /// Weight of a new sample in the smoothed answer time.
 constexpr double SampleWeight = 0.1;
 /// Added to the cost of an instance in another hall, in ms: two hops of about
-/// 1.5 ms, and the price of the bytes, which keeps light load in its hall.
+/// 1.5 ms, and the price of the bytes between halls, which keeps light load in
+/// its hall.
 constexpr double OtherHallCost = 12.0;
-/// Added where an instance may not have the position yet, in ms: an answer
-/// that says so costs a round trip and a second choice.
+/// Added where an instance may not have the position yet, in ms: a refusal for
+/// this costs a round trip and a second choice.
 constexpr double BehindCost = 40.0;
-/// Added for the primary, in ms, so that its slots are left to writes: with
-/// room there, less than another hall costs, so that reads of its hall stay.
+/// Added for the primary, in ms, so that its slots are left to writes. While it
+/// has capacity this is less than OtherHallCost, so that reads stay in its
+/// hall.
 constexpr double PrimaryCost = 5.0;
-/// The same where it takes longer than usual to answer.
+/// The same where the primary takes longer than usual to answer.
 constexpr double BusyPrimaryCost = 25.0;
-/// It does so from this many times its usual time on.
+/// Multiple of its usual answer time from which the primary counts as busy.
 constexpr double BusyFrom = 1.2;
-/// A read that has waited for this part of the answer time of an instance that
-/// is held back may go there: while the siblings have room, few wait so long.
+/// A read that has waited for an outlier's service time divided by this may go
+/// to the outlier: while the siblings have capacity, few reads wait so long.
 constexpr int OverflowDivisor = 4;
-/// An estimated lag counts half after this time without news, so that an
-/// instance that has caught up is found out.
+/// Half-life of an estimated lag without a new report, so that an instance that
+/// has caught up is detected.
 constexpr Duration LagHalfLife = milliseconds(1000);
 /// Weight of a new sample in the smoothed lag.
 constexpr double LagWeight = 0.3;
-/// An instance that refused a read for its position isn't asked for such a one
-/// again for this long: half of the usual lag of a replica.
+/// After an instance refused a read for its position, no such read is sent to
+/// it for this long: half of the usual lag of a replica.
 constexpr Duration FirstLagBackoff = milliseconds(25);
-/// Without it each read of a service whose replicas all lag is refused twice
-/// first, which took 0.002 of the worth in bytes (simulated days, mean of ten).
-/// The pause doubles up to this one, which bounds how late it is found out that
-/// an instance has caught up.
+/// The backoff doubles up to this limit, which bounds how late an instance that
+/// has caught up is detected. Without the backoff each read of a service whose
+/// replicas all lag is refused twice first, which costs traffic.
 constexpr Duration LongestLagBackoff = milliseconds(400);
 /// A leaving primary that has no successor yet is used for this long: the
-/// platform lets instances that leave take work for 7 s at least, less the
-/// time that the word of it travels.
+/// platform lets leaving instances take work for at least 7 s, less the time
+/// until the report of leaving arrives.
 constexpr Duration LeavingUse = milliseconds(5500);
-/// How long an instance that failed isn't chosen while others are there.
+/// How long an instance that failed isn't chosen while others are available.
 constexpr Duration AvoidTime = milliseconds(1000);
-/// How long an instance that refused a write isn't asked for one, if another
-/// could be the primary.
+/// How long no write is sent to an instance that refused one, if another could
+/// be the primary.
 constexpr Duration DeniedLeadTime = milliseconds(300);
 /// Proofs are kept this long; the longest staleness of a route is below it.
 constexpr Duration ProofLifetime = milliseconds(20000);
@@ -155,8 +156,8 @@
 }
 
 Duration InstanceTracker::lagOf(TimePoint now, const Mark &position) const {
-  // The log ended at or before the position when `reached` was sent, and
-  // behind it when `beyond` was: the truth lies between the two.
+  // The primary's log ended after the position in the proof `beyond`, and at or
+  // before it in the proof before that: the lag lies between their ages.
   const auto beyond =
       std::upper_bound(Proofs.begin(), Proofs.end(), position,
                        [](const Mark &mark, const PositionProof &it) {
@@ -173,7 +174,8 @@
 bool InstanceTracker::isExpectedAt(TimePoint now,
                                    const TrackedInstance &instance,
                                    const Mark &minimum) const {
-  // NOTE: one that was never asked tells by its first answer where it is.
+  // NOTE: an instance that was never asked reports its position in its first
+  // answer.
   if (!instance.Position || *instance.Position >= minimum)
     return true;
   const auto age = static_cast<double>((now - instance.PositionAt).count());
@@ -223,14 +225,15 @@
   const auto isGiven = [&](const InstanceId &id) {
     return draw.Chance < Outliers.weight(id);
   };
-  // NOTE: nobody is passed over for one that lacks the position.
+  // NOTE: no outlier is left out in favour of an instance that lacks the
+  // position.
   const bool hasSibling = std::any_of(ids.begin(), ids.end(), [&](auto &id) {
     return isGiven(id) && isExpectedAt(now, Instances.at(id), minimum);
   });
   if (!hasSibling)
     return;
   const auto passed = std::stable_partition(ids.begin(), ids.end(), isGiven);
-  // NOTE: the siblings have no room for a read that has waited.
+  // NOTE: the siblings have no capacity for a read that has waited.
   ids.erase(std::remove_if(passed, ids.end(),
                            [&](const InstanceId &id) {
                              return draw.Waited < Instances.at(id).ServiceTime /
@@ -244,7 +247,7 @@
                                 const std::set<InstanceId> &tried,
                                 const ReadDraw &draw) const {
   std::vector<std::pair<double, InstanceId>> ranked;
-  // NOTE: one that failed lately is still better than none.
+  // NOTE: an instance that failed recently is still better than none.
   for (const bool avoided : {false, true}) {
     for (const auto &[id, it] : Instances) {
       const bool leaving = it.Record.State != InstanceState::Ready;
--- a/src/proxy/internal/InstanceTracker.h
+++ b/src/proxy/internal/InstanceTracker.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What one VM knows of the instances of a service, and its choice of
-/// the instance for a statement.
+/// \file The state of a service's instances as one VM observes it, and the
+/// choice of the instance for a statement.
 
 #ifndef STEPLEDGE_PROXY_INTERNAL_INSTANCETRACKER_H
 #define STEPLEDGE_PROXY_INTERNAL_INSTANCETRACKER_H
@@ -23,72 +23,79 @@
 
 namespace stepledge::proxy {
 
-/// At \p SentAt or later, the primary's log ended at \p Position or after it;
-/// so every commit acknowledged before SentAt is at Position or before it.
+/// At \p SentAt or later, the primary reported \p Position as the end of its
+/// log, which ended there or beyond. So every commit acknowledged before SentAt
+/// is at or before Position.
 struct PositionProof {
   TimePoint SentAt;
   Mark Position;
 };
 
-/// A connection whose statement has no answer although one that was sent so
-/// much later on another connection has is taken for silent: longer than
-/// statements that run beside each other differ.
+/// A connection counts as silent if its statement has no answer although one
+/// sent this much later on another connection has: longer than the run times of
+/// concurrent statements differ.
 constexpr Duration OutOfOrderLimit = milliseconds(150);
 
-/// The most statements that one VM has at an instance at once; less as its
-/// answers slow down.
+/// The most statements that one VM runs at an instance at once; the limit falls
+/// as the instance's answers slow down.
 constexpr int MostRunning = 4;
 
 struct TrackedInstance {
   membership::InstanceRecord Record;
-  /// The newest log end it told, and when.
+  /// The newest log end that the instance reported, and when.
   std::optional<Mark> Position;
   TimePoint PositionAt{};
   /// Smoothed estimate of how far its log is behind the primary's.
   Duration Lag{};
-  /// The least position that it refused a read for, until it tells a position
-  /// at or after it.
+  /// The least position for which it refused a read, until it reports a
+  /// position at or after it.
   std::optional<Mark> RefusedPosition;
-  /// It isn't asked for RefusedPosition or more before this time.
+  /// Reads that need RefusedPosition or more aren't sent to it before this
+  /// time.
   TimePoint LagBackoffUntil{};
-  /// How long it isn't asked after one more such refusal.
+  /// Backoff after the last such refusal; doubles with each further one.
   Duration LagBackoff{};
-  /// Clients' statements sent and not answered. What sets a connection up,
-  /// opens or rolls back takes none of the instance's slots and doesn't count.
+  /// Clients' statements sent and not answered. Commands that set up a
+  /// connection, begin or roll back take none of the instance's slots and don't
+  /// count.
   int Statements = 0;
   SharedLimit Running{MostRunning};
   /// Smoothed time from sending to answer.
   Duration ServiceTime = milliseconds(10);
   /// Not chosen for reads before this time, after it failed to answer.
   TimePoint AvoidUntil{};
-  /// Since when nothing came back although something was asked.
+  /// Since when it has answered nothing although commands are outstanding.
   std::optional<TimePoint> SilentSince;
   TimePoint LastAnswerAt{};
-  /// The same on connections of this VM's own.
+  /// The same for answers on this VM's own connections.
   TimePoint LastDirectAnswerAt{};
-  /// When the newest of the statements that it has answered on own connections
-  /// was sent.
+  /// Latest send time of the statements that it has answered on own
+  /// connections.
   TimePoint NewestAnsweredSentAt{};
-  /// It didn't answer on its direct connections, and has not done so since.
+  /// It failed to answer on direct connections, and hasn't answered on one
+  /// since.
   bool IsDirectBad = false;
   TimePoint DirectProbedAt{};
-  /// Nothing has come back on own connections since \p sentAt, and the path
-  /// counts as lost: one opening that failed says nothing of the others.
+  /// Nothing was received on own connections since \p sentAt, and the direct
+  /// path counts as lost. A single failed opening doesn't show that the other
+  /// connections are silent.
   bool isSilentSince(TimePoint sentAt) const {
     return IsDirectBad && LastDirectAnswerAt <= sentAt;
   }
-  /// It has answered statements sent well after \p sentAt: the connection that
-  /// this one was sent on may be silent for good.
+  /// It has answered statements sent well after \p sentAt: the connection on
+  /// which a command was sent at that time may be permanently silent.
   bool hasAnsweredLater(TimePoint sentAt) const {
     return NewestAnsweredSentAt > sentAt + OutOfOrderLimit;
   }
-  /// Since when it is known to leave.
+  /// Since when it is known to be leaving.
   std::optional<TimePoint> LeavingSince;
-  /// It said lately that it isn't the primary; asked again after this time.
+  /// It recently reported that it isn't the primary; asked again after this
+  /// time.
   TimePoint DeniedLeadUntil{};
 };
 
-/// Control made this life of an instance the primary; the highest fence holds.
+/// Control made this incarnation of an instance the primary; of several
+/// promotions the one with the highest fence is valid.
 struct Promotion {
   InstanceId Instance;
   /// As in membership::InstanceRecord.
@@ -96,12 +103,11 @@
   std::uint64_t Fence = 0;
 };
 
-/// What decides whether a read is one of the few that an instance that is held
-/// back still gets.
+/// Decides whether a read belongs to the reduced share that an outlier gets.
 struct ReadDraw {
-  /// From 0 to 1, the same whenever the read is looked at again.
+  /// Random number from 0 to 1, the same each time the read is considered.
   double Chance = 0.0;
-  /// How long it has waited for a connection.
+  /// How long the read has waited for a connection.
   Duration Waited{};
 };
 
@@ -109,15 +115,16 @@
 public:
   explicit InstanceTracker(HallId ownHall) : OwnHall(std::move(ownHall)) {}
 
-  /// True if the instance has started again since the last word of it: then
-  /// nothing is kept of what was learned.
+  /// Returns true if the instance has restarted since the last record: then the
+  /// state of its earlier incarnation is dropped.
   bool update(TimePoint now, const membership::InstanceRecord &record);
-  /// No new work goes to an instance that has been leaving for long.
+  /// Whether new work may be sent to \p instance: not after it has been leaving
+  /// for long.
   static bool mayStartAt(TimePoint now, const TrackedInstance &instance);
   void remove(const InstanceId &id);
   /// Control replaced the primary.
   void notePromotion(const Promotion &promotion);
-  /// What was taken for silence of the instance was none.
+  /// Clears the silence recorded for an instance that wasn't silent.
   void forgetSilence(const InstanceId &id);
 
   TrackedInstance *find(const InstanceId &id);
@@ -125,32 +132,34 @@
 
   /// The instance to ask for writes and current reads, if one is known.
   std::optional<InstanceId> primary(TimePoint now) const;
-  /// The one that should lead said lately that it doesn't, and no other has
-  /// proved to.
+  /// The expected primary recently reported that it isn't the primary, and no
+  /// other instance has proved to be.
   bool isLeadDenied(TimePoint now) const;
-  /// The instances for a read that needs \p minimum, best first. One that is
-  /// held back is left out where a sibling should have the position, unless
-  /// \p draw gives it the read.
+  /// The instances for a read that needs \p minimum, best first. An outlier is
+  /// left out where a sibling should have the position, unless \p draw assigns
+  /// the read to it.
   std::vector<InstanceId> readCandidates(TimePoint now, const Mark &minimum,
                                          const std::set<InstanceId> &tried,
                                          const ReadDraw &draw = {}) const;
-  /// How reads that siblings could run as well do at each instance.
+  /// Tracks how well each instance answers reads that its siblings could run.
   balancing::OutlierDetector &outliers() { return Outliers; }
   const balancing::OutlierDetector &outliers() const { return Outliers; }
 
   void notePosition(TimePoint now, const InstanceId &id, const Mark &position);
-  /// \p id ran the start of a plain transaction, which only a primary does.
+  /// Records that \p id began a read-write transaction, which only a primary
+  /// does.
   void noteProof(TimePoint sentAt, const InstanceId &id, const Mark &position);
-  /// The least position that covers all acknowledged before \p time.
+  /// The least position that covers all commits acknowledged before \p time.
   std::optional<Mark> coveringPosition(TimePoint time) const;
   std::optional<TimePoint> newestProofAt() const;
   void noteAnswer(TimePoint now, const InstanceId &id, Duration took);
-  /// It answered that a statement failed or was refused, which says nothing of
-  /// the time that work takes there.
+  /// Records an answer that a statement failed or was refused, which is no
+  /// sample of the service time.
   void noteRefusal(TimePoint now, const InstanceId &id);
   void noteSilence(TimePoint now, const InstanceId &id);
   void noteDeniedLead(TimePoint now, const InstanceId &id);
-  /// \p id refused a read that needs \p minimum, which its log lacks.
+  /// Records that \p id refused a read that needs \p minimum, which its log
+  /// hasn't reached.
   void noteBehind(TimePoint now, const InstanceId &id, const Mark &minimum);
   void forgetProofs() { Proofs.clear(); }
 
@@ -158,28 +167,31 @@
   bool isPromoted(const membership::InstanceRecord &record) const {
     return Promoted.Instance == record.Id && Promoted.BornMs == record.BornMs;
   }
-  /// An instance that has started again and lost its data doesn't lead by its
-  /// own word while another one holds what was acknowledged.
+  /// An instance that lost its data in a restart isn't accepted as the primary
+  /// by its own report while another one has the acknowledged commits.
   bool mayLead(const membership::InstanceRecord &record) const;
   Duration lagOf(TimePoint now, const Mark &position) const;
   bool isExpectedAt(TimePoint now, const TrackedInstance &instance,
                     const Mark &minimum) const;
-  /// It refused as much lately and has told nothing newer since.
+  /// It recently refused such a position and has reported none since that
+  /// covers it.
   static bool isKnownBehind(TimePoint now, const TrackedInstance &instance,
                             const Mark &minimum);
   double readCost(TimePoint now, const TrackedInstance &instance,
                   const Mark &minimum) const;
-  /// The answer time to judge it by: one that is held back is tried as if it
-  /// were as fast as the fastest, since else no read would find out.
+  /// The service time to rank it by. An outlier is ranked as if it were as fast
+  /// as the fastest, since otherwise no read would detect its recovery.
   Duration presumedTime(const TrackedInstance &instance) const;
-  /// Moves those that \p draw keeps the read from behind the others, or out.
+  /// Moves the outliers to which \p draw doesn't assign the read behind the
+  /// others, or removes them.
   void passOver(TimePoint now, const Mark &minimum, const ReadDraw &draw,
                 std::vector<InstanceId> &ids) const;
 
   HallId OwnHall;
   balancing::OutlierDetector Outliers;
   std::map<InstanceId, TrackedInstance> Instances;
-  /// The last one that proved its lead, unless control named another since.
+  /// The last instance that proved to be the primary, unless control has named
+  /// another since.
   std::optional<InstanceId> ProvenLead;
   Promotion Promoted;
   std::deque<PositionProof> Proofs;
--- a/src/proxy/internal/ServiceWatch.cpp
+++ b/src/proxy/internal/ServiceWatch.cpp
@@ -39,7 +39,8 @@
     return;
   const double before = useOf(now, service);
   Uses[service] = {before + 1, now};
-  // NOTE: the next read can be served by a replica once a position is known.
+  // NOTE: watched at once, since a replica can serve the next read as soon as a
+  // position is known.
   Watched.insert(service);
 }
 
--- a/src/proxy/internal/ServiceWatch.h
+++ b/src/proxy/internal/ServiceWatch.h
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The services whose primaries this VM asks for their positions and
-/// reports on: all where they are few, else those that its clients use and
-/// those that it observes for all VMs.
+/// \file Selects the services whose primaries this VM probes for their
+/// positions and reports on: all where they are few, else those that its
+/// clients use and those that it observes for all VMs.
 
 #ifndef STEPLEDGE_PROXY_INTERNAL_SERVICEWATCH_H
 #define STEPLEDGE_PROXY_INTERNAL_SERVICEWATCH_H
@@ -19,23 +19,22 @@
 namespace stepledge::proxy {
 
 struct WatchOptions {
-  /// So many are always watched: some 50 questions a second. A VM among 100
-  /// before some hundreds of services used 225 KB a second while it asked each
-  /// of them, which is all that its link takes, and 25 KB since (simulated
-  /// days).
+  /// Up to this many services are all watched, with some 50 probes a second.
+  /// Probing each of some hundreds of services used 225 KB/s of a VM among 100,
+  /// the whole bandwidth of its link; with this limit it is 25 KB/s.
   std::size_t MostAlways = 24;
   /// A service counts as used while it gets this many statements a second: then
-  /// a question that is answered in time serves about one of them.
+  /// a probe that is answered in time serves about one of them.
   double LeastUse = 0.3;
-  /// The time over which use is counted.
+  /// Time constant of the decaying count of statements.
   Duration UseTime = milliseconds(2000);
-  /// How many halls have an observer of a service: enough that the loss of one
-  /// hall leaves two that can agree that a primary is lost.
+  /// How many halls have an observer of a service: after the loss of one hall,
+  /// the observers in two others can still agree that a primary is lost.
   std::size_t ObservingHalls = 3;
-  /// How often the list of watched services is made anew.
+  /// How often the set of watched services is recomputed.
   Duration ReviewInterval = milliseconds(250);
-  /// How often it is worked out what this VM observes, while lists of VMs
-  /// change: before 1,300 services among 300 VMs that takes some milliseconds.
+  /// How often the set of observed services is recomputed while the list of VMs
+  /// changes: with 1,300 services and 300 VMs that takes some milliseconds.
   Duration ObserverInterval = milliseconds(1000);
 };
 
@@ -47,7 +46,7 @@
 
   void setEntries(const std::vector<membership::EntryVm> &entries);
   void addService(const std::string &service);
-  /// A client's statement needs \p service.
+  /// Records that a client's statement needs \p service.
   void noteUse(TimePoint now, const std::string &service);
   const std::set<std::string> &watched(TimePoint now);
 
@@ -59,14 +58,14 @@
 
   double useOf(TimePoint now, const std::string &service) const;
   bool isObserver(const std::string &service) const;
-  /// Works out what this VM observes.
+  /// Recomputes which services this VM observes.
   void findObserved(TimePoint now);
   void review(TimePoint now);
 
   std::string OwnIp;
   HallId OwnHall;
   WatchOptions Options;
-  /// Of the listed VMs: their halls, and the others in this hall.
+  /// The halls of the listed VMs, and the addresses of the others in this hall.
   std::set<HallId> Halls;
   std::vector<std::string> Neighbours;
   bool IsListed = false;
--- a/src/proxy/internal/Upkeep.cpp
+++ b/src/proxy/internal/Upkeep.cpp
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of Proxy that acts as time passes.
+/// \file The periodic work of Proxy: timeouts, probes and the closing of
+/// connections.
 
 #include "proxy/Proxy.h"
 
@@ -14,12 +15,12 @@
 
 namespace {
 
-/// A question unanswered for this long counts as silence: above the time that
-/// a full queue of an instance takes.
+/// A command unanswered for this long counts as silence: longer than a full
+/// queue of an instance takes.
 constexpr Duration SilenceLimit = milliseconds(300);
 /// A read at an instance that is much slower than its siblings is moved after
-/// this many times its usual time: its answer there would take longer than
-/// waiting so long and asking a sibling.
+/// this many times its usual time: the slow answer would take longer than this
+/// wait and a sibling's answer together.
 constexpr int EarlyMoveFactor = 3;
 
 } // namespace
@@ -114,8 +115,8 @@
   facts.AwaitsPrimary =
       work.PrimaryOnly && awaitsSuccessor(now, session.Route.Service);
   facts.IsShed = work.IsShed;
-  // NOTE: without control nobody may tell this VM of a new primary, but others
-  // may know it.
+  // NOTE: without control this VM may get no report of a new primary, while
+  // other VMs may have one.
   facts.IsHopeless =
       IsIsolated || (IsControlLost && work.PrimaryOnly &&
                      !tracker(session.Route.Service).primary(now));
@@ -163,7 +164,7 @@
 
 void Proxy::expireCommit(TimePoint now, ClientSession &session) {
   const bool wrote = session.HasWritten;
-  // NOTE: a commit is under way, so a rollback behind it would be wrong.
+  // NOTE: the commit was sent and may succeed, so no rollback may follow it.
   const auto pinned = std::exchange(session.Pinned, std::nullopt);
   if (auto *connection = Pool.find(*pinned))
     connection->giveUp();
@@ -187,7 +188,7 @@
       now - work.SentAt < limit)
     return;
   // NOTE: the instance rolls back once the connection is closed, so the client
-  // may try again whole, and still has the time for it.
+  // may repeat the whole transaction, and still has the time for it.
   const ConnectionId id = connection.Id;
   Io.closeConnection(id);
   connectionLost(now, id);
@@ -202,7 +203,7 @@
   if (!work.PrimaryOnly)
     return isRead;
   const bool isUnsent = work.Stage == WorkStage::Beginning;
-  // The primary is worth another try only by another path.
+  // Another attempt at the primary is useful only over another path.
   const bool isPathBad =
       instance.IsDirectBad || instance.hasAnsweredLater(work.SentAt);
   return !connection.isBorrowed() && isPathBad && (isRead || isUnsent);
@@ -211,7 +212,7 @@
 bool Proxy::isWorthMoving(TimePoint now, const ClientSession &session) {
   const auto &work = *session.Current;
   const auto usual = UsualWork.usual(session.Route);
-  // NOTE: where reads wait, the siblings have no room for one more.
+  // NOTE: where reads wait, the siblings have no capacity for one more.
   const auto waiting = Waiting.find(session.Route.Service);
   if (waiting != Waiting.end() && !waiting->second.empty())
     return false;
@@ -247,7 +248,7 @@
   if (work.Sendings >= Options.MostSlowSendings ||
       !isMovable(session, *connection, *instance))
     return;
-  // NOTE: a late move spends of the budget too, but is never refused.
+  // NOTE: a late move also counts against the budget, but is never refused.
   const bool hasBudget = SecondTries.take();
   if (isEarly && !hasBudget)
     return;
@@ -340,21 +341,20 @@
   const auto *instance = tracker(connection.Service).find(connection.Instance);
   const auto share =
       instance ? shareOf(now, instance->Record) : ConnectionShare{0, 0};
-  // NOTE: position questions come twice a second and would keep it open: 70 VMs
-  // that are no homes had 25 to 35 of a primary's 53 connections so.
+  // NOTE: position probes don't count as use. They come twice a second and
+  // would keep the connection open: 70 non-home VMs held 25 to 35 of a
+  // primary's 53 connections.
   const Duration idle = now - connection.LastServed;
   if (idle > Options.SpareConnectionLifetime &&
       Pool.countOf(connection.Instance) > share.Floor)
     return true;
   if (!instance || connection.isBorrowed())
     return false;
-  // NOTE: a VM that no longer is a home gives its connections up.
+  // NOTE: a VM that is no longer a home closes its connections.
   if (usesHomes(connection.Service))
     return !isHomeOf(instance->Record) && idle > Options.ForeignLifetime;
-  // NOTE: the share shrinks when a VM comes back; kept beyond it, these
-  // connections would fill the instance after a loss of power. 0.849 of the
-  // worth was earned without this line, 0.855 with it (simulated days that end
-  // so, means of twenty).
+  // NOTE: the share shrinks when a VM comes back. Connections kept beyond it
+  // would use up all connections of the instance after a power loss.
   return Pool.ownAt(connection.Instance) > share.Limit;
 }
 
@@ -380,7 +380,7 @@
   auto *instance = tracker(connection.Service).find(connection.Instance);
   if (!instance || now - instance->LastAnswerAt <= SilenceLimit)
     return;
-  // NOTE: a read that was moved away may have noted the silence before.
+  // NOTE: the silence may have been recorded already when a read was moved.
   if (!instance->SilentSince)
     instance->SilentSince = std::max(sentAt, instance->LastAnswerAt);
   if (!connection.isBorrowed())
@@ -401,7 +401,7 @@
     Io.closeConnection(id);
     connectionLost(now, id);
   }
-  // NOTE: one at a time, since each closing changes the count.
+  // NOTE: only one per sweep, since each closing changes the count.
   if (!spare.empty())
     Pool.close(spare.front());
 }
--- a/src/proxy/tests/ConnectionPoolTest.cpp
+++ b/src/proxy/tests/ConnectionPoolTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which connection a home closes for the next organisation, and how
-/// many are opened under a load of organisations of unequal size.
+/// \file Which connection a home closes when another organisation needs one,
+/// and how many it opens under a load of organisations of unequal size.
 
 #include "proxy/internal/ConnectionPool.h"
 #include "proxy/tests/FakeIo.h"
@@ -29,7 +29,7 @@
     Instance.Service = "db";
   }
 
-  /// A use of \p organisation; true if a connection had to be opened for it.
+  /// Uses a connection for \p organisation; true if one had to be opened.
   bool use(const OrganisationId &organisation) {
     auto *it = Pool.findFree(Instance.Id, organisation, {}, true);
     const bool isMissing = !it;
@@ -60,8 +60,8 @@
   return OrganisationId("o" + std::to_string(number));
 }
 
-/// Openings for 100 uses, eight a second, of 20 organisations the n-th of which
-/// asks for 1/n of what the first does.
+/// Connections opened for 100 uses, eight a second, by 20 organisations the
+/// n-th of which has 1/n of the load of the first.
 double openingsForHundred(unsigned seed) {
   constexpr int Uses = 10000;
   std::vector<double> shares;
@@ -81,8 +81,8 @@
 } // namespace
 
 TEST_CASE("ConnectionPool_FewOpeningsWhereFewAskForMuch") {
-  // 59 to 60 where the one that has rested longest makes room, 45 to 47 by the
-  // rate of use.
+  // 59 to 60 if the connection idle longest is closed, 45 to 47 by the rate of
+  // use.
   for (const unsigned seed : {1U, 2U, 3U}) {
     CAPTURE(seed);
     CHECK(openingsForHundred(seed) < 52);
@@ -94,7 +94,7 @@
   for (int i = 0; i < 10; ++i)
     for (std::size_t n = 0; n < HomeConnections; ++n)
       home.use(organisation(n));
-  // One passes by once, and then another.
+  // Two further organisations use a connection once each.
   home.Now += milliseconds(200);
   CHECK(home.use(organisation(10)));
   home.Now += milliseconds(200);
@@ -108,12 +108,12 @@
 
 TEST_CASE("ConnectionPool_WhatWasFrequentOnceMakesRoomInTheEnd") {
   Home home;
-  // Four ask twice a second each for half a minute.
+  // Four organisations each use a connection twice a second for 30 s.
   for (int i = 0; i < 240; ++i) {
     home.Now += milliseconds(125);
     home.use(organisation(static_cast<std::size_t>(i % 4)));
   }
-  // They stop, and four others ask half as often for a quarter of a minute.
+  // They stop, and four others use connections half as often for 15 s.
   for (int i = 0; i < 60; ++i) {
     home.Now += milliseconds(250);
     home.use(organisation(10 + static_cast<std::size_t>(i % 4)));
@@ -138,7 +138,7 @@
   Home home;
   home.use(organisation(1));
   home.use(organisation(2));
-  // After a loss of power the instance has no room for some seconds.
+  // After a power loss the instance has no free connection for some seconds.
   home.Pool.refuseUntil(home.Instance.Id, home.Now + milliseconds(1000));
   CHECK(home.use(organisation(3)));
   CHECK(home.Pool.ownAt(home.Instance.Id) == 2);
--- a/src/proxy/tests/ProxyScheduleTest.cpp
+++ b/src/proxy/tests/ProxyScheduleTest.cpp
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Seeded schedules: many sessions before instances that lag, crash, fall
-/// silent and are promoted. Each client gets the truth, and each statement runs
-/// where it may.
+/// \file Seeded schedules: many sessions on instances that lag, crash, fall
+/// silent and are promoted. Each client gets correct answers, and each
+/// statement runs only where it may.
 
 #include "proxy/tests/ScheduledClients.h"
 
@@ -131,7 +131,7 @@
 }
 
 TEST_CASE("Proxy_SeedsThatFailed") {
-  // 77: a commit was given up on and then refused as busy; its connection was
-  // used again with the transaction still open.
+  // 77: an abandoned commit was refused as busy; its connection was then reused
+  // with the transaction still open.
   Play(77).run(1500);
 }
--- a/src/proxy/tests/RestartedInstanceTest.cpp
+++ b/src/proxy/tests/RestartedInstanceTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Instances that start again under their id, as the proxy sees them.
+/// \file How the proxy handles instances that restart under the same id.
 
 #include "proxy/tests/ProxyFixture.h"
 
@@ -30,7 +30,7 @@
   return record;
 }
 
-/// The proxy knows in which life its instances are.
+/// Reports the first incarnation of each instance to the proxy.
 void tellLives(ProxyFixture &it) {
   it.Core.applyInstance(it.Now, recordOf("p", true, FirstLife, 9));
   it.Core.applyInstance(it.Now, recordOf("r1", false, FirstLife, 9));
@@ -85,8 +85,8 @@
   tellLives(it);
   it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
   CHECK(it.Core.primarySights(it.Now).empty());
-  // It runs the start of a plain transaction as well, which proves a lead
-  // otherwise; its log has nothing of what was acknowledged.
+  // It also begins a read-write transaction, which otherwise proves that it is
+  // the primary; its log has none of the acknowledged commits.
   it.advance(milliseconds(150));
   it.answerOwn(markOf(1, 0));
   CHECK(it.Core.primarySights(it.Now).empty());
@@ -114,7 +114,7 @@
   const auto before = connectionsTo(it, "r1");
   it.Core.applyInstance(it.Now, late);
   CHECK(connectionsTo(it, "r1") == before);
-  // An older word of the same life neither.
+  // Nor does an older record of the same incarnation.
   auto old = recordOf("p", false, FirstLife, 3);
   it.Core.applyInstance(it.Now, old);
   REQUIRE(it.Core.primarySights(it.Now).size() == 1);
--- a/src/proxy/tests/ScheduledClients.cpp
+++ b/src/proxy/tests/ScheduledClients.cpp
@@ -122,7 +122,8 @@
   client.AskedId = statement.Id;
   client.AskedAt = Now;
   Group.Views[statement.Id] = client.View;
-  // NOTE: a transaction's reads are judged by its first statement.
+  // NOTE: what the reads of a transaction must see is set by its first
+  // statement.
   if (!client.IsOpen)
     Group.MustSee[statement.Id] = mustSee(client);
   if (statement.Mode == AccessMode::Write &&
@@ -187,7 +188,7 @@
   if (isKept)
     for (const auto &it : client.Writes)
       Acks.push_back({it, Now, client.View.Client});
-  // Every code but these says that nothing of the attempt is kept.
+  // Every code but these reports that nothing of the attempt takes effect.
   const bool isPromise =
       !isSuccess && reply.Code != ReplyCode::OutcomeUnknown &&
       reply.Code != ReplyCode::TimedOut && reply.Code != ReplyCode::Malformed;
--- a/src/proxy/tests/ScheduledClients.h
+++ b/src/proxy/tests/ScheduledClients.h
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Clients of a seeded schedule: each asks, waits for the answer and asks
-/// again; what it is told is held against what the instances ran.
+/// \file Clients of a seeded schedule: each sends a statement, waits for the
+/// answer and sends the next; the answers are checked against what the
+/// instances ran.
 
 #ifndef STEPLEDGE_PROXY_TESTS_SCHEDULEDCLIENTS_H
 #define STEPLEDGE_PROXY_TESTS_SCHEDULEDCLIENTS_H
@@ -16,7 +17,7 @@
 namespace stepledge::proxy::tests {
 
 /// The configuration of all schedules: one service, one route for each policy.
-/// Without \p organisations anybody may ask.
+/// Without \p organisations clients need no key.
 control::Configuration scheduleConfiguration(int mostConnections,
                                              int organisations = 0);
 
@@ -24,17 +25,17 @@
 public:
   explicit ScheduledClients(SimulatedInstances &group) : Group(group) {}
 
-  /// One more client, at \p proxy.
+  /// Adds a client that is connected to \p proxy.
   void add(TimePoint now, Proxy &proxy);
   void step(TimePoint now);
-  /// No client asks anything more.
+  /// No client sends further statements.
   void finish() { IsAsking = false; }
-  /// All that can be held against the promises; empty if they were kept.
+  /// A guarantee that was violated; empty if there is none.
   std::string check();
   int succeeded() const { return Succeeded; }
 
 private:
-  /// A commit that its client was told of.
+  /// A write whose commit was acknowledged to its client.
   struct Acknowledged {
     std::string Write;
     TimePoint At{};
--- a/src/proxy/tests/ServiceWatchTest.cpp
+++ b/src/proxy/tests/ServiceWatchTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which services a VM watches, before few and before many.
+/// \file Which services a VM watches where there are few, and where many.
 
 #include "proxy/internal/ServiceWatch.h"
 
@@ -55,7 +55,7 @@
   CHECK(observers.size() == Services);
   for (const auto &[service, n] : observers)
     CHECK(n == 3);
-  // 30 on average, where each watched all 300.
+  // 30 on average; without the selection each VM would watch all 300.
   CHECK(most <= 60);
 }
 
--- a/src/proxy/tests/SilentConnectionTest.cpp
+++ b/src/proxy/tests/SilentConnectionTest.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Answers all but what waits on \p silent.
+/// Answers all commands except those on \p silent.
 void answerOthers(Fixture &it, ConnectionId silent) {
   for (int n = 0; n < 20; ++n)
     for (auto &[id, commands] : it.Io.Sent) {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Sends a write; gives the connection that will say nothing to it.
+/// Sends a write; returns its connection, which doesn't answer it.
 ConnectionId askOnASilentConnection(Fixture &it, ClientId client,
                                     const char *text) {
   it.ask(client, StatementKind::Write, text);
@@ -40,7 +40,8 @@
   return *silent;
 }
 
-/// Lets 30 ms pass \p rounds times; other clients' writes are answered in each.
+/// Advances the time by 30 ms \p rounds times; other clients' writes are
+/// answered in each round.
 void letOthersWork(Fixture &it, ConnectionId silent, int rounds) {
   for (int i = 0; i < rounds; ++i) {
     const std::string text = "WRITE other " + std::to_string(i);
@@ -86,7 +87,7 @@
   const auto client = it.connect("current");
   const auto silent = askOnASilentConnection(it, client, "WRITE x 1");
   it.Core.clientLeft(it.Now, client);
-  // 0.75 s: without word of the later answers it would be kept for 2.5 s.
+  // 0.75 s: without regard to the later answers it would be kept for 2.5 s.
   letOthersWork(it, silent, 25);
   CHECK(!it.Io.Opened.contains(silent));
 }
@@ -94,7 +95,7 @@
 TEST_CASE("SilentConnection_QuestionsForThePositionFindIt") {
   Fixture it;
   it.warmUp();
-  // Two connections rest; the questions must reach both of them.
+  // Two connections become idle; the probes must reach both of them.
   const auto first = it.connect("current");
   const auto second = it.connect("current");
   it.ask(first, StatementKind::Write, "WRITE a 1");
@@ -125,7 +126,7 @@
   const auto client = it.connect("current");
   const auto silent = it.beginTransaction(client);
   it.ask(client, StatementKind::Write, "WRITE y 1");
-  // 0.36 s of the route's 0.8 s.
+  // 0.36 s, of the route's statement timeout of 0.8 s.
   letOthersWork(it, silent, 12);
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
   CHECK(!it.Io.Opened.contains(silent));
@@ -137,7 +138,7 @@
   const auto client = it.connect("current");
   it.beginTransaction(client);
   it.ask(client, StatementKind::Write, "WRITE y 1");
-  // The primary answers nobody any more.
+  // The primary answers nothing any more.
   for (int i = 0; i < 16; ++i)
     it.advance(milliseconds(30));
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
--- a/src/proxy/tests/SimulatedInstances.cpp
+++ b/src/proxy/tests/SimulatedInstances.cpp
@@ -71,8 +71,8 @@
   Now = now;
   replicate();
   while (true) {
-    // NOTE: a connection that is held up loses nothing, as over TCP; all comes
-    // in turn once it goes on.
+    // NOTE: a connection that is held up loses nothing, as over TCP; its events
+    // are delivered in order once it resumes.
     auto next = Events.end();
     for (auto it = Events.begin(); it != Events.end(); ++it) {
       if (it->At > now || isHeldUp(*it))
@@ -128,7 +128,8 @@
 }
 
 void SimulatedInstances::closeConnection(ConnectionId connection) {
-  // NOTE: what is on its way is lost with it; open work is rolled back.
+  // NOTE: messages in transit are lost with the connection; an open transaction
+  // is rolled back.
   Connections.erase(connection);
 }
 
@@ -321,7 +322,7 @@
   for (std::size_t i = 0; i < instance.Held; ++i)
     for (const auto &it : History[i].Writes)
       missing.erase(it);
-  // What a promotion has rolled back isn't owed.
+  // Commits that a promotion has rolled back needn't be seen.
   std::set<std::string> kept;
   for (const auto &it : History)
     kept.insert(it.Writes.begin(), it.Writes.end());
--- a/src/proxy/tests/SimulatedInstances.h
+++ b/src/proxy/tests/SimulatedInstances.h
@@ -20,7 +20,7 @@
 
 namespace stepledge::proxy::tests {
 
-/// A write that was committed, by the text that the client sent.
+/// A commit and the ids of the statements that wrote in it.
 struct Commit {
   Mark Position;
   std::vector<std::string> Writes;
@@ -34,14 +34,14 @@
   SimulatedInstances(std::uint64_t seed, std::size_t count);
 
   void setProxy(Proxy &proxy) { Proxies = {&proxy}; }
-  /// One more proxy; its connections have numbers from idBase() on.
+  /// Adds a proxy; the ids of its connections start at idBase().
   void addProxy(Proxy &proxy) { Proxies.push_back(&proxy); }
   static ConnectionId idBase(std::size_t proxy) {
     return ConnectionId{static_cast<std::uint64_t>(proxy) << ProxyShift};
   }
   /// Refuses connections to an instance beyond this number.
   void setMostConnections(std::size_t n) { MostConnections = n; }
-  /// Moves time on; what is due is delivered.
+  /// Advances the time and delivers the events that are due.
   void advance(TimePoint now);
   void announceAll();
 
@@ -51,7 +51,7 @@
   /// Makes \p instance the primary; commits that it lacks are rolled back.
   void promote(std::size_t instance);
   void setLag(std::size_t instance, Duration lag);
-  /// Messages to and from it are held up, and nobody is told.
+  /// Holds up messages to and from it; no connection is closed for it.
   void silence(std::size_t instance, bool isSilent);
   void setBusyShare(double share) { BusyShare = share; }
 
@@ -63,7 +63,8 @@
   const std::string &fault() const { return Fault; }
   std::mt19937_64 &random() { return Random; }
 
-  /// What the client of a statement holds, told by the test before it asks.
+  /// The session state of a statement's client; the test sets it before the
+  /// client sends the statement.
   struct ClientView {
     SessionValues Values;
     std::map<std::string, PreparedShape> Prepared;
@@ -92,7 +93,7 @@
     (void)ip;
     return false;
   }
-  /// It knows no lenders: a borrowed connection goes to the instance too.
+  /// Simulates no lenders: a borrowed connection goes to the instance too.
   void sendBorrowed(ConnectionId connection,
                     const std::vector<InstanceCommand> &commands,
                     const BorrowNeeds &needs) override {
@@ -118,7 +119,7 @@
     bool IsUp = true;
     bool IsSilent = false;
     Duration Lag = milliseconds(30);
-    /// How much of the history it holds.
+    /// The number of commits of the history that it has.
     std::size_t Held = 0;
     std::uint64_t Term = 1;
     std::uint64_t Sequence = 0;
@@ -127,7 +128,7 @@
     std::size_t Instance = 0;
     std::optional<OrganisationId> Organisation;
     TimePoint FreeAt{};
-    /// Replies come in turn.
+    /// When the last reply arrives; the next one arrives no earlier.
     TimePoint RepliedAt{};
     SessionValues Values;
     std::map<std::string, PreparedShape> Prepared;
@@ -163,7 +164,8 @@
   Duration draw(int least, int most);
 
   static constexpr unsigned ProxyShift = 40;
-  /// Calls \p tell with the proxy that opened the connection, and its own id.
+  /// Calls \p tell with the proxy that opened the connection and the
+  /// connection's id there.
   template <typename Tell> void tellOwner(ConnectionId id, Tell tell) {
     const std::size_t owner = id.Number >> ProxyShift;
     tell(*Proxies[owner], ConnectionId{id.Number - idBase(owner).Number});
--- a/src/proxy/tests/UnevenGroup.h
+++ b/src/proxy/tests/UnevenGroup.h
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file VMs before one group of instances that have a few slots each and
-/// become slow, fail or go down as the test says; callers ask for single reads,
-/// and what they get is counted.
+/// \file VMs and one group of instances that have a few slots each and become
+/// slow, fail or go down as the test sets; clients send single reads, and their
+/// answers are counted.
 
 #ifndef STEPLEDGE_PROXY_TESTS_UNEVENGROUP_H
 #define STEPLEDGE_PROXY_TESTS_UNEVENGROUP_H
@@ -22,7 +22,7 @@
 
 namespace stepledge::proxy::tests {
 
-/// What the callers of some time got.
+/// The answers to the reads of one period.
 struct ReadTally {
   int Asked = 0;
   /// Answered within their objective.
@@ -43,31 +43,31 @@
   struct Instance {
     std::string Name;
     bool IsUp = true;
-    /// Times its usual service time.
+    /// Multiple of its usual service time.
     double Slowness = 1.0;
     double FailingShare = 0.0;
     /// Failures are answered at once.
     bool FailsFast = false;
     std::vector<TimePoint> SlotsFreeAt;
-    /// Reads that came to it.
+    /// Reads that were sent to it.
     int Reads = 0;
   };
 
   UnevenGroup(std::uint64_t seed, std::size_t vms);
   ~UnevenGroup();
 
-  /// Time passes, with \p rate reads a second over all VMs. The tally goes on
-  /// counting what has no answer yet.
+  /// Advances the time by \p time, with \p rate reads a second over all VMs.
+  /// The tally also counts the answers that arrive later.
   const ReadTally &play(Duration time, double rate);
   /// An instance that goes down loses its connections.
   void setUp(const std::string &name, bool isUp);
   Instance &instance(const std::string &name);
   Proxy &vm(std::size_t n);
-  /// How often the VM told of an instance that stands out, or has returned.
+  /// How often the VM logged that an instance became an outlier or recovered.
   int outlierLines(std::size_t vm) const;
-  /// Answers that reach this VM from the instance take longer by so much.
+  /// Delays answers from the instance to this VM by \p extra.
   void setLink(std::size_t vm, const std::string &instance, Duration extra);
-  /// Reads that were sent in all, second tries included.
+  /// Reads sent to all instances, second attempts included.
   int sendings() const;
   void forgetCounts();
 
--- a/src/proxy/tests/UnevenInstancesTest.cpp
+++ b/src/proxy/tests/UnevenInstancesTest.cpp
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What callers get while instances are slow, fail or go up and down.
+/// \file How clients' reads are answered while instances are slow, fail or
+/// flap.
 
 #include "proxy/tests/UnevenGroup.h"
 
@@ -20,18 +21,20 @@
 
 namespace {
 
-/// Reads a second; two instances serve 600, so the siblings of one have room.
+/// Reads a second; two instances serve 600, so the siblings of one instance
+/// have capacity for all.
 constexpr double Rate = 300;
-/// Of reads, from two seconds after the trouble begins.
+/// Least share of good reads, from two seconds after the fault begins.
 constexpr double GoodShare = 0.95;
-/// Of reads that were sent twice, with the trouble's first moment.
+/// Greatest share of reads that are sent twice, also right after the fault
+/// begins.
 constexpr double SecondTryShare = 0.05;
-/// Of reads within the tightest objective: of the reads that probe an instance,
-/// one in five at most may be beyond it, which is one in 200 of all.
+/// Least share of reads within the tightest objective: of the reads that probe
+/// an outlier, at most one in five may exceed it, which is one in 200 of all.
 constexpr double PromptShare = 0.995;
 constexpr Duration Warm = milliseconds(4000);
 constexpr Duration Notice = milliseconds(2000);
-/// For answers that are still owed.
+/// Time for the outstanding answers.
 constexpr Duration Rest = milliseconds(1500);
 
 double secondTries(const UnevenGroup &group, const ReadTally &tally) {
@@ -41,8 +44,8 @@
 } // namespace
 
 TEST_CASE("UnevenInstances_EqualInstancesAreChosenByCostAlone") {
-  // The order of expected answer times, with the prices of another hall and of
-  // the primary in ms; nothing that a draw says changes it.
+  // Ranked by the expected answer times, with the costs of another hall and of
+  // the primary in ms; a draw doesn't change the order.
   constexpr double OtherHall = 12.0;
   constexpr double Primary = 5.0;
   const TimePoint now(std::chrono::seconds(10));
@@ -103,7 +106,7 @@
   const ReadDraw notDrawn{0.9, {}};
   CHECK(tracker.readCandidates(now, needed, {}, notDrawn) ==
         std::vector{behind});
-  // The siblings have no room for a read that has waited.
+  // The siblings have no capacity for a read that has waited.
   const ReadDraw waited{0.9, milliseconds(100)};
   CHECK(tracker.readCandidates(now, needed, {}, waited) ==
         std::vector{behind, slow});
@@ -164,14 +167,14 @@
     INFO("seed ", seed, " first ", first.goodShare(), " then ",
          tally.goodShare(), " back ", back, " of ", after.Asked);
     CHECK(tally.goodShare() >= GoodShare);
-    // It has its share again.
+    // It gets its share of the reads again.
     CHECK(back > after.Asked / 5);
   }
 }
 
 TEST_CASE("UnevenInstances_ReadAtASlowReplicaIsMovedInTime") {
-  // All of its answers are beyond the tightest objective; reads that probe it
-  // are within it all the same.
+  // All answers of the slow replica exceed the tightest objective; reads that
+  // probe it meet the objective nevertheless.
   for (const std::uint64_t seed : {11, 12, 13}) {
     UnevenGroup group(seed, 4);
     group.play(Warm, Rate);
@@ -256,8 +259,8 @@
     CHECK(all.goodShare() >= GoodShare);
     const double tries = static_cast<double>(sent - all.Asked) / all.Asked;
     CHECK(tries <= SecondTryShare);
-    // A line when it is held back and one when it returns, which takes longer
-    // than it is up here.
+    // One log line when it becomes an outlier and one when it recovers, which
+    // takes longer than it is up here.
     for (const std::size_t vm : {0, 1, 2, 3})
       CHECK(group.outlierLines(vm) <= 2);
   }
@@ -309,7 +312,8 @@
   CHECK(tries <= SecondTryShare);
 }
 
-// Such VMs forgot between two reads that the replica failed, and came back.
+// Guards against VMs with few reads that drop a replica's failures between two
+// reads and send it reads again.
 TEST_CASE("UnevenInstances_ManyVmsKeepAwayWhileAReplicaFails") {
   for (const std::uint64_t seed : {21, 22, 23}) {
     UnevenGroup group(seed, 70);
@@ -330,13 +334,13 @@
          back, " sibling ", sibling);
     CHECK(tally.goodShare() >= GoodShare);
     CHECK(tries <= SecondTryShare);
-    // It has its reads again, once it is well.
+    // It gets its reads again once it has recovered.
     CHECK(back >= sibling / 2);
   }
 }
 
 TEST_CASE("UnevenInstances_ManyVmsEachFindOutAFailingReplica") {
-  // Four reads a second of each VM, so one or two at each instance.
+  // Four reads a second by each VM, so one or two at each instance.
   for (const std::uint64_t seed : {21, 22, 23}) {
     UnevenGroup group(seed, 70);
     group.play(Warm, Rate);
