--- a/src/proxy/internal/ConnectionPool.cpp
+++ b/src/proxy/internal/ConnectionPool.cpp
@@ -23,9 +23,9 @@
 }
 
 template <typename Predicate, typename SecondKey>
-InstanceConnection *ConnectionPool::findFirstFree(const InstanceId &instance,
-                                                  Predicate isAllowed,
-                                                  SecondKey secondKey) {
+InstanceConnection *ConnectionPool::findBestFree(const InstanceId &instance,
+                                                 Predicate isAllowed,
+                                                 SecondKey secondKey) {
   // NOTE: a borrowed connection comes second, since it costs the lender time.
   const auto key = [&](const InstanceConnection &it) {
     return std::pair(it.isBorrowed(), secondKey(it));
@@ -47,19 +47,19 @@
     return it.Organisation == organisation && (usesDirect || it.isBorrowed());
   };
   // NOTE: the lender sets the session values of a borrowed connection.
-  return findFirstFree(instance, isAllowed, [&](const auto &it) {
+  return findBestFree(instance, isAllowed, [&](const auto &it) {
     return !it.isBorrowed() && it.Values != values;
   });
 }
 
-InstanceConnection *ConnectionPool::findForQuestion(
-    const InstanceId &instance, bool usesDirect,
-    const std::optional<OrganisationId> &borrowedFor) {
+InstanceConnection *
+ConnectionPool::findForProbe(const InstanceId &instance, bool usesDirect,
+                             const std::optional<OrganisationId> &borrowedFor) {
   const auto isAllowed = [&](const InstanceConnection &it) {
     return it.isBorrowed() ? it.Organisation == borrowedFor : usesDirect;
   };
-  return findFirstFree(instance, isAllowed,
-                       [](const auto &it) { return it.LastUsed; });
+  return findBestFree(instance, isAllowed,
+                      [](const auto &it) { return it.LastUsed; });
 }
 
 InstanceConnection *ConnectionPool::findFreeDirect(
@@ -80,7 +80,7 @@
     Rates[connection.Instance].note(now, *connection.Organisation);
 }
 
-bool ConnectionPool::makeRoom(
+bool ConnectionPool::evictFree(
     TimePoint now, const InstanceId &instance, bool isBorrowed,
     const std::optional<OrganisationId> &organisation) {
   const auto &ids = idsAt(instance);
@@ -91,7 +91,7 @@
   // closing it costs 59 openings for 100 uses, and closing by the rate of use
   // 46 (ConnectionPool_FewOpeningsWhereFewAskForMuch).
   const auto &rates = Rates[instance];
-  const auto worth = [&](const InstanceConnection &it) {
+  const auto rank = [&](const InstanceConnection &it) {
     const double rate = it.Organisation ? rates.of(now, *it.Organisation) : 0;
     return std::pair(rate, it.LastServed);
   };
@@ -100,7 +100,7 @@
     const auto &it = Connections.at(id);
     const bool isOther =
         it.isBorrowed() == isBorrowed && it.Organisation != organisation;
-    if (it.isFree() && isOther && (!least || worth(it) < worth(*least)))
+    if (it.isFree() && isOther && (!least || rank(it) < rank(*least)))
       least = &it;
   }
   if (!least)
@@ -118,9 +118,9 @@
   const int open = isBorrowed ? countOf(instance.Id) - own : own;
   // NOTE: a connection that replaces another needs no further capacity at the
   // instance.
-  const bool hasRoom =
+  const bool canOpen =
       (isBorrowed || !isFull(now, instance.Id)) && open < share.Limit;
-  if (!hasRoom && !makeRoom(now, instance.Id, isBorrowed, organisation))
+  if (!canOpen && !evictFree(now, instance.Id, isBorrowed, organisation))
     return false;
   const ConnectionId id{++LastId};
   auto &it = Connections[id];
@@ -172,7 +172,7 @@
 }
 
 void ConnectionPool::refuseUntil(const InstanceId &instance, TimePoint until) {
-  RefusedUntil[instance] = until;
+  OpeningPausedUntil[instance] = until;
 }
 
 template <typename Predicate>
@@ -225,8 +225,8 @@
 
 Duration ConnectionPool::pauseLeft(TimePoint now,
                                    const InstanceId &instance) const {
-  const auto refused = RefusedUntil.find(instance);
-  return refused == RefusedUntil.end()
+  const auto refused = OpeningPausedUntil.find(instance);
+  return refused == OpeningPausedUntil.end()
              ? Duration{}
              : std::max(Duration{}, refused->second - now);
 }
--- a/src/proxy/internal/ConnectionPool.h
+++ b/src/proxy/internal/ConnectionPool.h
@@ -42,8 +42,8 @@
   /// findFree. Any own connection is suitable, and a borrowed one if it was
   /// borrowed for \p borrowedFor.
   InstanceConnection *
-  findForQuestion(const InstanceId &instance, bool usesDirect,
-                  const std::optional<OrganisationId> &borrowedFor);
+  findForProbe(const InstanceId &instance, bool usesDirect,
+               const std::optional<OrganisationId> &borrowedFor);
   /// A free own connection of \p organisation; of any if none is given.
   InstanceConnection *
   findFreeDirect(const InstanceId &instance,
@@ -111,17 +111,17 @@
   /// Of the free connections that \p isAllowed accepts, the own one with the
   /// least \p secondKey; a borrowed one only if there is no own one.
   template <typename Predicate, typename SecondKey>
-  InstanceConnection *findFirstFree(const InstanceId &instance,
-                                    Predicate isAllowed, SecondKey secondKey);
+  InstanceConnection *findBestFree(const InstanceId &instance,
+                                   Predicate isAllowed, SecondKey secondKey);
   /// Closes a free connection that isn't for \p organisation; false if there is
   /// none.
-  bool makeRoom(TimePoint now, const InstanceId &instance, bool isBorrowed,
-                const std::optional<OrganisationId> &organisation);
+  bool evictFree(TimePoint now, const InstanceId &instance, bool isBorrowed,
+                 const std::optional<OrganisationId> &organisation);
 
   IProxyIo &Io;
   std::map<ConnectionId, InstanceConnection> Connections;
   std::map<InstanceId, std::set<ConnectionId>> ByInstance;
-  std::map<InstanceId, TimePoint> RefusedUntil;
+  std::map<InstanceId, TimePoint> OpeningPausedUntil;
   /// By instance; only instances with connections have an entry.
   std::map<InstanceId, UseRates> Rates;
   std::uint64_t LastId = 0;
--- a/src/proxy/internal/InstanceTracker.cpp
+++ b/src/proxy/internal/InstanceTracker.cpp
@@ -25,7 +25,7 @@
 constexpr double OtherHallCost = 12.0;
 /// Added where an instance may not have the position yet, in ms: a refusal for
 /// this costs a round trip and a second choice.
-constexpr double BehindCost = 40.0;
+constexpr double LaggingCost = 40.0;
 /// Added for the primary, in ms, so that its slots are left to writes. While it
 /// has capacity this is less than OtherHallCost, so that reads stay in its
 /// hall.
@@ -33,7 +33,7 @@
 /// The same where the primary takes longer than usual to answer.
 constexpr double BusyPrimaryCost = 25.0;
 /// Multiple of its usual answer time from which the primary counts as busy.
-constexpr double BusyFrom = 1.2;
+constexpr double BusyPrimaryFactor = 1.2;
 /// A read that has waited for an outlier's service time divided by this may go
 /// to the outlier: while the siblings have capacity, few reads wait so long.
 constexpr int OverflowDivisor = 4;
@@ -44,20 +44,20 @@
 constexpr double LagWeight = 0.3;
 /// After an instance refused a read for its position, no such read is sent to
 /// it for this long: half of the usual lag of a replica.
-constexpr Duration FirstLagBackoff = milliseconds(25);
+constexpr Duration MinLagBackoff = milliseconds(25);
 /// The backoff doubles up to this limit, which bounds how late an instance that
 /// has caught up is detected. Without the backoff each read of a service whose
 /// replicas all lag is refused twice first, which costs traffic.
-constexpr Duration LongestLagBackoff = milliseconds(400);
+constexpr Duration MaxLagBackoff = milliseconds(400);
 /// A leaving primary that has no successor yet is used for this long: the
 /// platform lets leaving instances take work for at least 7 s, less the time
 /// until the report of leaving arrives.
-constexpr Duration LeavingUse = milliseconds(5500);
+constexpr Duration LeavingUseTime = milliseconds(5500);
 /// How long an instance that failed isn't chosen while others are available.
-constexpr Duration AvoidTime = milliseconds(1000);
+constexpr Duration AvoidPause = milliseconds(1000);
 /// How long no write is sent to an instance that refused one, if another could
 /// be the primary.
-constexpr Duration DeniedLeadTime = milliseconds(300);
+constexpr Duration NotPrimaryPause = milliseconds(300);
 /// Proofs are kept this long; the longest staleness of a route is below it.
 constexpr Duration ProofLifetime = milliseconds(20000);
 /// Two proofs closer than this are kept as one.
@@ -67,7 +67,8 @@
 
 bool InstanceTracker::mayStartAt(TimePoint now,
                                  const TrackedInstance &instance) {
-  return !instance.LeavingSince || now - *instance.LeavingSince < LeavingUse;
+  return !instance.LeavingSince ||
+         now - *instance.LeavingSince < LeavingUseTime;
 }
 
 bool InstanceTracker::update(TimePoint now,
@@ -75,12 +76,12 @@
   const auto [found, isNew] = Instances.try_emplace(record.Id);
   auto &it = found->second;
   const auto next = isNew ? record : membership::merged(it.Record, record);
-  const bool isLaterLife = !isNew && next.BornMs > it.Record.BornMs;
-  if (isLaterLife) {
+  const bool isLaterIncarnation = !isNew && next.BornMs > it.Record.BornMs;
+  if (isLaterIncarnation) {
     it = {};
     Outliers.remove(record.Id);
-    if (ProvenLead == record.Id)
-      ProvenLead.reset();
+    if (ProvenPrimary == record.Id)
+      ProvenPrimary.reset();
   }
   it.Record = next;
   if (next.State != InstanceState::Ready && !it.LeavingSince)
@@ -91,7 +92,7 @@
     Outliers.remove(record.Id);
   if (next.State == InstanceState::Gone)
     Instances.erase(found);
-  return isLaterLife;
+  return isLaterIncarnation;
 }
 
 void InstanceTracker::remove(const InstanceId &id) {
@@ -103,9 +104,9 @@
   if (promotion.Fence <= Promoted.Fence)
     return;
   Promoted = promotion;
-  ProvenLead.reset();
+  ProvenPrimary.reset();
   if (auto *it = find(promotion.Instance))
-    it->DeniedLeadUntil = {};
+    it->NotPrimaryUntil = {};
 }
 
 TrackedInstance *InstanceTracker::find(const InstanceId &id) {
@@ -113,7 +114,8 @@
   return it == Instances.end() ? nullptr : &it->second;
 }
 
-bool InstanceTracker::mayLead(const membership::InstanceRecord &record) const {
+bool InstanceTracker::canBePrimary(
+    const membership::InstanceRecord &record) const {
   if (!record.HasRestarted || isPromoted(record))
     return true;
   return std::none_of(
@@ -124,18 +126,18 @@
 }
 
 std::optional<InstanceId> InstanceTracker::primary(TimePoint now) const {
-  if (ProvenLead) {
-    const auto it = Instances.find(*ProvenLead);
-    if (it != Instances.end() && it->second.DeniedLeadUntil <= now)
-      return ProvenLead;
+  if (ProvenPrimary) {
+    const auto it = Instances.find(*ProvenPrimary);
+    if (it != Instances.end() && it->second.NotPrimaryUntil <= now)
+      return ProvenPrimary;
   }
   const TrackedInstance *best = nullptr;
   for (const auto &[id, it] : Instances) {
-    if (it.DeniedLeadUntil > now)
+    if (it.NotPrimaryUntil > now)
       continue;
     if (isPromoted(it.Record))
       return id;
-    if (it.Record.Role != InstanceRole::Primary || !mayLead(it.Record))
+    if (it.Record.Role != InstanceRole::Primary || !canBePrimary(it.Record))
       continue;
     if (!best || it.Position > best->Position)
       best = &it;
@@ -148,10 +150,10 @@
   return std::nullopt;
 }
 
-bool InstanceTracker::isLeadDenied(TimePoint now) const {
-  return !ProvenLead &&
+bool InstanceTracker::isPrimaryDenied(TimePoint now) const {
+  return !ProvenPrimary &&
          std::any_of(Instances.begin(), Instances.end(), [&](const auto &it) {
-           return it.second.DeniedLeadUntil > now;
+           return it.second.NotPrimaryUntil > now;
          });
 }
 
@@ -189,9 +191,9 @@
   return proof != Proofs.rend() && proof->Position >= minimum;
 }
 
-bool InstanceTracker::isKnownBehind(TimePoint now,
-                                    const TrackedInstance &instance,
-                                    const Mark &minimum) {
+bool InstanceTracker::isKnownLagging(TimePoint now,
+                                     const TrackedInstance &instance,
+                                     const Mark &minimum) {
   return instance.RefusedPosition && minimum >= *instance.RefusedPosition &&
          instance.LagBackoffUntil > now;
 }
@@ -200,18 +202,19 @@
                                  const Mark &minimum) const {
   const int slots = std::max(1, instance.Record.Slots);
   const double rounds = 1.0 + static_cast<double>(instance.Statements) / slots;
-  double cost = toMilliseconds(presumedTime(instance)) * rounds;
+  double cost = toMilliseconds(assumedServiceTime(instance)) * rounds;
   if (instance.Record.Hall != OwnHall)
     cost += OtherHallCost;
   if (!isExpectedAt(now, instance, minimum))
-    cost += BehindCost;
+    cost += LaggingCost;
   if (primary(now) == instance.Record.Id)
-    cost += instance.Running.congestion() < BusyFrom ? PrimaryCost
-                                                     : BusyPrimaryCost;
+    cost += instance.Running.congestion() < BusyPrimaryFactor ? PrimaryCost
+                                                              : BusyPrimaryCost;
   return cost;
 }
 
-Duration InstanceTracker::presumedTime(const TrackedInstance &instance) const {
+Duration
+InstanceTracker::assumedServiceTime(const TrackedInstance &instance) const {
   Duration time = instance.ServiceTime;
   if (Outliers.weight(instance.Record.Id) < 1.0)
     for (const auto &[id, it] : Instances)
@@ -219,22 +222,23 @@
   return time;
 }
 
-void InstanceTracker::passOver(TimePoint now, const Mark &minimum,
-                               const ReadDraw &draw,
-                               std::vector<InstanceId> &ids) const {
-  const auto isGiven = [&](const InstanceId &id) {
+void InstanceTracker::demoteOutliers(TimePoint now, const Mark &minimum,
+                                     const ReadDraw &draw,
+                                     std::vector<InstanceId> &ids) const {
+  const auto isAssigned = [&](const InstanceId &id) {
     return draw.Chance < Outliers.weight(id);
   };
   // NOTE: no outlier is left out in favour of an instance that lacks the
   // position.
   const bool hasSibling = std::any_of(ids.begin(), ids.end(), [&](auto &id) {
-    return isGiven(id) && isExpectedAt(now, Instances.at(id), minimum);
+    return isAssigned(id) && isExpectedAt(now, Instances.at(id), minimum);
   });
   if (!hasSibling)
     return;
-  const auto passed = std::stable_partition(ids.begin(), ids.end(), isGiven);
+  const auto demoted =
+      std::stable_partition(ids.begin(), ids.end(), isAssigned);
   // NOTE: the siblings have no capacity for a read that has waited.
-  ids.erase(std::remove_if(passed, ids.end(),
+  ids.erase(std::remove_if(demoted, ids.end(),
                            [&](const InstanceId &id) {
                              return draw.Waited < Instances.at(id).ServiceTime /
                                                       OverflowDivisor;
@@ -248,12 +252,12 @@
                                 const ReadDraw &draw) const {
   std::vector<std::pair<double, InstanceId>> ranked;
   // NOTE: an instance that failed recently is still better than none.
-  for (const bool avoided : {false, true}) {
+  for (const bool isAvoided : {false, true}) {
     for (const auto &[id, it] : Instances) {
-      const bool leaving = it.Record.State != InstanceState::Ready;
-      if (tried.contains(id) || leaving || (it.AvoidUntil > now) != avoided)
+      const bool isLeaving = it.Record.State != InstanceState::Ready;
+      if (tried.contains(id) || isLeaving || (it.AvoidUntil > now) != isAvoided)
         continue;
-      if (isKnownBehind(now, it, minimum))
+      if (isKnownLagging(now, it, minimum))
         continue;
       ranked.emplace_back(readCost(now, it, minimum), id);
     }
@@ -265,7 +269,7 @@
   ids.reserve(ranked.size());
   for (auto &it : ranked)
     ids.push_back(std::move(it.second));
-  passOver(now, minimum, draw, ids);
+  demoteOutliers(now, minimum, draw, ids);
   return ids;
 }
 
@@ -289,9 +293,9 @@
 
 void InstanceTracker::noteProof(TimePoint sentAt, const InstanceId &id,
                                 const Mark &position) {
-  if (const auto *it = find(id); it && !mayLead(it->Record))
+  if (const auto *it = find(id); it && !canBePrimary(it->Record))
     return;
-  ProvenLead = id;
+  ProvenPrimary = id;
   // A newer term starts a new history: older proofs may name lost commits.
   if (!Proofs.empty() && Proofs.back().Position.WrittenIn < position.WrittenIn)
     Proofs.clear();
@@ -341,7 +345,7 @@
   auto *it = find(id);
   if (!it)
     return;
-  it->AvoidUntil = now + AvoidTime;
+  it->AvoidUntil = now + AvoidPause;
   if (!it->SilentSince)
     it->SilentSince = now;
 }
@@ -356,10 +360,10 @@
 }
 
 void InstanceTracker::noteDeniedLead(TimePoint now, const InstanceId &id) {
-  if (ProvenLead == id)
-    ProvenLead.reset();
+  if (ProvenPrimary == id)
+    ProvenPrimary.reset();
   if (auto *it = find(id))
-    it->DeniedLeadUntil = now + DeniedLeadTime;
+    it->NotPrimaryUntil = now + NotPrimaryPause;
 }
 
 void InstanceTracker::noteBehind(TimePoint now, const InstanceId &id,
@@ -369,8 +373,7 @@
     return;
   it->RefusedPosition =
       it->RefusedPosition ? std::min(*it->RefusedPosition, minimum) : minimum;
-  it->LagBackoff =
-      std::clamp(2 * it->LagBackoff, FirstLagBackoff, LongestLagBackoff);
+  it->LagBackoff = std::clamp(2 * it->LagBackoff, MinLagBackoff, MaxLagBackoff);
   it->LagBackoffUntil = now + it->LagBackoff;
 }
 
--- a/src/proxy/internal/InstanceTracker.h
+++ b/src/proxy/internal/InstanceTracker.h
@@ -91,7 +91,7 @@
   std::optional<TimePoint> LeavingSince;
   /// It recently reported that it isn't the primary; asked again after this
   /// time.
-  TimePoint DeniedLeadUntil{};
+  TimePoint NotPrimaryUntil{};
 };
 
 /// Control made this incarnation of an instance the primary; of several
@@ -134,7 +134,7 @@
   std::optional<InstanceId> primary(TimePoint now) const;
   /// The expected primary recently reported that it isn't the primary, and no
   /// other instance has proved to be.
-  bool isLeadDenied(TimePoint now) const;
+  bool isPrimaryDenied(TimePoint now) const;
   /// The instances for a read that needs \p minimum, best first. An outlier is
   /// left out where a sibling should have the position, unless \p draw assigns
   /// the read to it.
@@ -169,30 +169,30 @@
   }
   /// An instance that lost its data in a restart isn't accepted as the primary
   /// by its own report while another one has the acknowledged commits.
-  bool mayLead(const membership::InstanceRecord &record) const;
+  bool canBePrimary(const membership::InstanceRecord &record) const;
   Duration lagOf(TimePoint now, const Mark &position) const;
   bool isExpectedAt(TimePoint now, const TrackedInstance &instance,
                     const Mark &minimum) const;
   /// It recently refused such a position and has reported none since that
   /// covers it.
-  static bool isKnownBehind(TimePoint now, const TrackedInstance &instance,
-                            const Mark &minimum);
+  static bool isKnownLagging(TimePoint now, const TrackedInstance &instance,
+                             const Mark &minimum);
   double readCost(TimePoint now, const TrackedInstance &instance,
                   const Mark &minimum) const;
   /// The service time to rank it by. An outlier is ranked as if it were as fast
   /// as the fastest, since otherwise no read would detect its recovery.
-  Duration presumedTime(const TrackedInstance &instance) const;
+  Duration assumedServiceTime(const TrackedInstance &instance) const;
   /// Moves the outliers to which \p draw doesn't assign the read behind the
   /// others, or removes them.
-  void passOver(TimePoint now, const Mark &minimum, const ReadDraw &draw,
-                std::vector<InstanceId> &ids) const;
+  void demoteOutliers(TimePoint now, const Mark &minimum, const ReadDraw &draw,
+                      std::vector<InstanceId> &ids) const;
 
   HallId OwnHall;
   balancing::OutlierDetector Outliers;
   std::map<InstanceId, TrackedInstance> Instances;
   /// The last instance that proved to be the primary, unless control has named
   /// another since.
-  std::optional<InstanceId> ProvenLead;
+  std::optional<InstanceId> ProvenPrimary;
   Promotion Promoted;
   std::deque<PositionProof> Proofs;
 };
--- a/src/proxy/internal/ServiceWatch.cpp
+++ b/src/proxy/internal/ServiceWatch.cpp
@@ -24,32 +24,33 @@
     else if (it.Hall == OwnHall)
       Neighbours.push_back(it.Ip);
   }
-  IsObservedOld = true;
+  IsObservedStale = true;
 }
 
 void ServiceWatch::addService(const std::string &service) {
   if (!Services.insert(service).second)
     return;
-  IsObservedOld = true;
+  IsObservedStale = true;
   ReviewAt = {};
 }
 
 void ServiceWatch::noteUse(TimePoint now, const std::string &service) {
-  if (Services.size() <= Options.MostAlways)
+  if (Services.size() <= Options.MaxAlwaysWatched)
     return;
-  const double before = useOf(now, service);
-  Uses[service] = {before + 1, now};
+  const double before = recentStatements(now, service);
+  Usages[service] = {before + 1, now};
   // NOTE: watched at once, since a replica can serve the next read as soon as a
   // position is known.
   Watched.insert(service);
 }
 
-double ServiceWatch::useOf(TimePoint now, const std::string &service) const {
-  const auto it = Uses.find(service);
-  if (it == Uses.end())
+double ServiceWatch::recentStatements(TimePoint now,
+                                      const std::string &service) const {
+  const auto it = Usages.find(service);
+  if (it == Usages.end())
     return 0;
   const std::chrono::duration<double> passed = now - it->second.At;
-  const std::chrono::duration<double> time = Options.UseTime;
+  const std::chrono::duration<double> time = Options.RateTimeConstant;
   return it->second.Statements * std::exp(-passed / time);
 }
 
@@ -68,8 +69,8 @@
                                   });
 }
 
-void ServiceWatch::findObserved(TimePoint now) {
-  IsObservedOld = false;
+void ServiceWatch::updateObserved(TimePoint now) {
+  IsObservedStale = false;
   ObservedAt = now;
   Observed.clear();
   for (const auto &it : Services)
@@ -79,16 +80,17 @@
 
 void ServiceWatch::review(TimePoint now) {
   ReviewAt = now + Options.ReviewInterval;
-  if (Services.size() <= Options.MostAlways) {
+  if (Services.size() <= Options.MaxAlwaysWatched) {
     Watched = Services;
     return;
   }
-  if (IsObservedOld && now - ObservedAt >= Options.ObserverInterval)
-    findObserved(now);
+  if (IsObservedStale && now - ObservedAt >= Options.ObserverInterval)
+    updateObserved(now);
   Watched = Observed;
-  const std::chrono::duration<double> time = Options.UseTime;
-  std::erase_if(Uses, [&](const auto &it) {
-    const bool isUsed = useOf(now, it.first) / time.count() >= Options.LeastUse;
+  const std::chrono::duration<double> time = Options.RateTimeConstant;
+  std::erase_if(Usages, [&](const auto &it) {
+    const bool isUsed = recentStatements(now, it.first) / time.count() >=
+                        Options.MinStatementRate;
     if (isUsed)
       Watched.insert(it.first);
     return !isUsed;
--- a/src/proxy/internal/ServiceWatch.h
+++ b/src/proxy/internal/ServiceWatch.h
@@ -22,12 +22,12 @@
   /// Up to this many services are all watched, with some 50 probes a second.
   /// Probing each of some hundreds of services used 225 KB/s of a VM among 100,
   /// the whole bandwidth of its link; with this limit it is 25 KB/s.
-  std::size_t MostAlways = 24;
+  std::size_t MaxAlwaysWatched = 24;
   /// A service counts as used while it gets this many statements a second: then
   /// a probe that is answered in time serves about one of them.
-  double LeastUse = 0.3;
+  double MinStatementRate = 0.3;
   /// Time constant of the decaying count of statements.
-  Duration UseTime = milliseconds(2000);
+  Duration RateTimeConstant = milliseconds(2000);
   /// How many halls have an observer of a service: after the loss of one hall,
   /// the observers in two others can still agree that a primary is lost.
   std::size_t ObservingHalls = 3;
@@ -51,15 +51,15 @@
   const std::set<std::string> &watched(TimePoint now);
 
 private:
-  struct Use {
+  struct Usage {
     double Statements = 0;
     TimePoint At{};
   };
 
-  double useOf(TimePoint now, const std::string &service) const;
+  double recentStatements(TimePoint now, const std::string &service) const;
   bool isObserver(const std::string &service) const;
   /// Recomputes which services this VM observes.
-  void findObserved(TimePoint now);
+  void updateObserved(TimePoint now);
   void review(TimePoint now);
 
   std::string OwnIp;
@@ -70,10 +70,10 @@
   std::vector<std::string> Neighbours;
   bool IsListed = false;
   std::set<std::string> Services;
-  std::map<std::string, Use> Uses;
+  std::map<std::string, Usage> Usages;
   std::set<std::string> Observed;
   std::set<std::string> Watched;
-  bool IsObservedOld = true;
+  bool IsObservedStale = true;
   TimePoint ObservedAt{};
   TimePoint ReviewAt{};
 };
--- a/src/proxy/internal/Upkeep.cpp
+++ b/src/proxy/internal/Upkeep.cpp
@@ -99,7 +99,7 @@
   const auto primary = instances.primary(now);
   const auto *instance = primary ? instances.find(*primary) : nullptr;
   // NOTE: control replaces a primary that stays silent.
-  return !instance || instances.isLeadDenied(now) || instance->SilentSince ||
+  return !instance || instances.isPrimaryDenied(now) || instance->SilentSince ||
          !InstanceTracker::mayStartAt(now, *instance);
 }
 
@@ -163,14 +163,15 @@
 }
 
 void Proxy::expireCommit(TimePoint now, ClientSession &session) {
-  const bool wrote = session.HasWritten;
+  const bool hasWritten = session.HasWritten;
   // NOTE: the commit was sent and may succeed, so no rollback may follow it.
   const auto pinned = std::exchange(session.Pinned, std::nullopt);
   if (auto *connection = Pool.find(*pinned))
     connection->giveUp();
   session.State = SessionState::Idle;
   session.Mode = TransactionMode::None;
-  refuse(now, session, wrote ? ReplyCode::OutcomeUnknown : ReplyCode::TimedOut,
+  refuse(now, session,
+         hasWritten ? ReplyCode::OutcomeUnknown : ReplyCode::TimedOut,
          "the commit took longer than its limit");
 }
 
@@ -273,7 +274,7 @@
   for (const auto &service : Watch.watched(now)) {
     auto &it = tracker(service);
     const auto primary = it.primary(now);
-    if (!primary || it.isLeadDenied(now))
+    if (!primary || it.isPrimaryDenied(now))
       searchPrimary(now, service, it);
     else if (const auto *instance = it.find(*primary))
       probePrimary(now, service, it.newestProofAt(), *instance);
@@ -289,13 +290,12 @@
   if (now - probedAt < Options.ProofInterval / 2)
     return;
   const InstanceId &id = instance.Record.Id;
-  if (auto *it =
-          Pool.findForQuestion(id, !instance.IsDirectBad, ofQuestions())) {
+  if (auto *it = Pool.findForProbe(id, !instance.IsDirectBad, ofQuestions())) {
     probedAt = now;
     return sendProbe(now, *it);
   }
-  const bool isAlone = instance.IsDirectBad || Pool.ownAt(id) == 0;
-  if (isAlone && !Pool.isOpening(id))
+  const bool hasNoDirect = instance.IsDirectBad || Pool.ownAt(id) == 0;
+  if (hasNoDirect && !Pool.isOpening(id))
     openTo(now, instance.Record, ofQuestions());
 }
 
@@ -316,7 +316,7 @@
     return;
   probedAt = now;
   for (auto &[id, it] : instances.all()) {
-    auto *connection = Pool.findForQuestion(id, !it.IsDirectBad, ofQuestions());
+    auto *connection = Pool.findForProbe(id, !it.IsDirectBad, ofQuestions());
     if (connection)
       sendProbe(now, *connection);
     else if (!Pool.isOpening(id) && (it.IsDirectBad || Pool.countOf(id) == 0))
--- a/src/proxy/tests/ConnectionPoolTest.cpp
+++ b/src/proxy/tests/ConnectionPoolTest.cpp
@@ -62,18 +62,19 @@
 
 /// Connections opened for 100 uses, eight a second, by 20 organisations the
 /// n-th of which has 1/n of the load of the first.
-double openingsForHundred(unsigned seed) {
+double openingsPerHundred(unsigned seed) {
   constexpr int Uses = 10000;
   std::vector<double> shares;
   for (int i = 1; i <= 20; ++i)
     shares.push_back(1.0 / i);
   std::mt19937 random(seed);
-  std::discrete_distribution<std::size_t> whose(shares.begin(), shares.end());
+  std::discrete_distribution<std::size_t> pickNumber(shares.begin(),
+                                                     shares.end());
   Home home;
   int openings = 0;
   for (int i = 0; i < Uses; ++i) {
     home.Now += milliseconds(125);
-    openings += home.use(organisation(whose(random)));
+    openings += home.use(organisation(pickNumber(random)));
   }
   return 100.0 * openings / Uses;
 }
@@ -85,7 +86,7 @@
   // use.
   for (const unsigned seed : {1U, 2U, 3U}) {
     CAPTURE(seed);
-    CHECK(openingsForHundred(seed) < 52);
+    CHECK(openingsPerHundred(seed) < 52);
   }
 }
 
--- a/src/proxy/tests/ProxyScheduleTest.cpp
+++ b/src/proxy/tests/ProxyScheduleTest.cpp
@@ -24,9 +24,9 @@
   return text ? std::strtoull(text, nullptr, 10) : otherwise;
 }
 
-class Play {
+class ScheduleRun {
 public:
-  explicit Play(std::uint64_t seed)
+  explicit ScheduleRun(std::uint64_t seed)
       : Group(seed, 3), Core(options(), Group, Group, Group, Quota) {
     Group.setProxy(Core);
     Core.applyConfiguration(Now, tests::scheduleConfiguration(40));
@@ -39,9 +39,9 @@
     for (int i = 0; i < rounds; ++i) {
       step();
       if (i % 40 == 39)
-        disturb();
+        injectFault();
     }
-    heal();
+    clearFaults();
     for (int i = 0; i < 400; ++i)
       step();
     Clients.finish();
@@ -69,7 +69,7 @@
     Clients.step(Now);
   }
 
-  void disturb() {
+  void injectFault() {
     const std::size_t instance = pick(Group.size());
     switch (pick(9)) {
     case 0:
@@ -96,12 +96,12 @@
       Group.setBusyShare(0.2);
       break;
     default:
-      heal();
+      clearFaults();
       break;
     }
   }
 
-  void heal() {
+  void clearFaults() {
     Group.setBusyShare(0.0);
     for (std::size_t i = 0; i < Group.size(); ++i) {
       Group.restart(i);
@@ -126,12 +126,12 @@
   const std::uint64_t count = numberFrom("STEPLEDGE_SEEDS", 40);
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
     CAPTURE(seed);
-    Play(seed).run(1500);
+    ScheduleRun(seed).run(1500);
   }
 }
 
 TEST_CASE("Proxy_SeedsThatFailed") {
   // 77: an abandoned commit was refused as busy; its connection was then reused
   // with the transaction still open.
-  Play(77).run(1500);
+  ScheduleRun(77).run(1500);
 }
--- a/src/proxy/tests/RestartedInstanceTest.cpp
+++ b/src/proxy/tests/RestartedInstanceTest.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr std::uint64_t FirstLife = 1'800'000'000'000;
-constexpr std::uint64_t SecondLife = FirstLife + 60'000;
+constexpr std::uint64_t FirstStartMs = 1'800'000'000'000;
+constexpr std::uint64_t SecondStartMs = FirstStartMs + 60'000;
 
 membership::InstanceRecord recordOf(const char *id, bool isPrimary,
-                                    std::uint64_t bornMs,
+                                    std::uint64_t startMs,
                                     std::uint64_t sequence) {
   membership::InstanceRecord record;
   record.Id = InstanceId(id);
@@ -25,16 +25,16 @@
   record.Role = isPrimary ? membership::InstanceRole::Primary
                           : membership::InstanceRole::Replica;
   record.Slots = 3;
-  record.BornMs = bornMs;
+  record.BornMs = startMs;
   record.Sequence = sequence;
   return record;
 }
 
 /// Reports the first incarnation of each instance to the proxy.
-void tellLives(ProxyFixture &it) {
-  it.Core.applyInstance(it.Now, recordOf("p", true, FirstLife, 9));
-  it.Core.applyInstance(it.Now, recordOf("r1", false, FirstLife, 9));
-  it.Core.applyInstance(it.Now, recordOf("r2", false, FirstLife, 9));
+void announceFirstIncarnations(ProxyFixture &it) {
+  it.Core.applyInstance(it.Now, recordOf("p", true, FirstStartMs, 9));
+  it.Core.applyInstance(it.Now, recordOf("r1", false, FirstStartMs, 9));
+  it.Core.applyInstance(it.Now, recordOf("r2", false, FirstStartMs, 9));
   it.warmUp();
 }
 
@@ -50,20 +50,20 @@
 
 TEST_CASE("RestartedInstance_NoConnectionOfTheEarlierLifeIsUsedAgain") {
   ProxyFixture it;
-  tellLives(it);
+  announceFirstIncarnations(it);
   const auto before = connectionsTo(it, "p");
   REQUIRE(!before.empty());
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
   for (const auto id : connectionsTo(it, "p"))
     CHECK(!before.contains(id));
 }
 
 TEST_CASE("RestartedInstance_TransactionOfTheEarlierLifeIsAborted") {
   ProxyFixture it;
-  tellLives(it);
+  announceFirstIncarnations(it);
   const auto client = it.connect("current");
   it.beginTransaction(client);
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
   it.ask(client, StatementKind::Write, "WRITE x 2");
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
   CHECK(!it.carrierOf("WRITE x 2"));
@@ -71,51 +71,51 @@
 
 TEST_CASE("RestartedInstance_CommitUnderWayIsTold") {
   ProxyFixture it;
-  tellLives(it);
+  announceFirstIncarnations(it);
   const auto client = it.connect("current");
   it.beginTransaction(client);
   it.ask(client, StatementKind::Commit, "COMMIT");
   REQUIRE(it.carrierOf("COMMIT"));
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
   CHECK(it.lastAnswer(client).Code == ReplyCode::OutcomeUnknown);
 }
 
 TEST_CASE("RestartedInstance_EmptyPrimaryIsNotBelievedByItsOwnWord") {
   ProxyFixture it;
-  tellLives(it);
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
+  announceFirstIncarnations(it);
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
   CHECK(it.Core.primarySights(it.Now).empty());
   // It also begins a read-write transaction, which otherwise proves that it is
   // the primary; its log has none of the acknowledged commits.
   it.advance(milliseconds(150));
   it.answerOwn(markOf(1, 0));
   CHECK(it.Core.primarySights(it.Now).empty());
-  it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstLife, 7});
+  it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstStartMs, 7});
   REQUIRE(it.Core.primarySights(it.Now).size() == 1);
   CHECK(it.Core.primarySights(it.Now)[0].Primary == InstanceId("r1"));
 }
 
 TEST_CASE("RestartedInstance_PromotionOfTheEarlierLifeNamesNobody") {
   ProxyFixture it;
-  tellLives(it);
-  it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstLife, 7});
+  announceFirstIncarnations(it);
+  it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstStartMs, 7});
   REQUIRE(it.Core.primarySights(it.Now)[0].Primary == InstanceId("r1"));
-  it.Core.applyInstance(it.Now, recordOf("r1", false, SecondLife, 1));
-  const auto sights = it.Core.primarySights(it.Now);
-  CHECK((sights.empty() || sights[0].Primary != InstanceId("r1")));
+  it.Core.applyInstance(it.Now, recordOf("r1", false, SecondStartMs, 1));
+  const auto observations = it.Core.primarySights(it.Now);
+  CHECK((observations.empty() || observations[0].Primary != InstanceId("r1")));
 }
 
 TEST_CASE("RestartedInstance_LateWordOfAnotherVmChangesNothing") {
   ProxyFixture it;
-  tellLives(it);
-  it.Core.applyInstance(it.Now, recordOf("r1", false, SecondLife, 4));
-  auto late = recordOf("r1", false, FirstLife, 30);
+  announceFirstIncarnations(it);
+  it.Core.applyInstance(it.Now, recordOf("r1", false, SecondStartMs, 4));
+  auto late = recordOf("r1", false, FirstStartMs, 30);
   late.State = membership::InstanceState::Gone;
   const auto before = connectionsTo(it, "r1");
   it.Core.applyInstance(it.Now, late);
   CHECK(connectionsTo(it, "r1") == before);
   // Nor does an older record of the same incarnation.
-  auto old = recordOf("p", false, FirstLife, 3);
+  auto old = recordOf("p", false, FirstStartMs, 3);
   it.Core.applyInstance(it.Now, old);
   REQUIRE(it.Core.primarySights(it.Now).size() == 1);
   CHECK(it.Core.primarySights(it.Now)[0].Primary == InstanceId("p"));
@@ -123,12 +123,12 @@
 
 TEST_CASE("RestartedInstance_NewLifeIsNotTakenForSilent") {
   ProxyFixture it;
-  tellLives(it);
+  announceFirstIncarnations(it);
   for (const char *id : {"r1", "r2"})
-    it.Core.applyInstance(it.Now, recordOf(id, false, SecondLife, 1));
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
-  const auto sights = it.Core.primarySights(it.Now);
-  REQUIRE(sights.size() == 1);
-  CHECK(sights[0].BornMs == SecondLife);
-  CHECK(sights[0].SilentFor == Duration{});
+    it.Core.applyInstance(it.Now, recordOf(id, false, SecondStartMs, 1));
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
+  const auto observations = it.Core.primarySights(it.Now);
+  REQUIRE(observations.size() == 1);
+  CHECK(observations[0].BornMs == SecondStartMs);
+  CHECK(observations[0].SilentFor == Duration{});
 }
--- a/src/proxy/tests/ScheduledClients.cpp
+++ b/src/proxy/tests/ScheduledClients.cpp
@@ -22,11 +22,11 @@
 
 } // namespace
 
-control::Configuration scheduleConfiguration(int mostConnections,
+control::Configuration scheduleConfiguration(int maxConnections,
                                              int organisations) {
   control::Configuration configuration;
   configuration.Version = 1;
-  configuration.Services["db"] = {"db", mostConnections, 0};
+  configuration.Services["db"] = {"db", maxConnections, 0};
   configuration.TransactionIdleLimit = milliseconds(3000);
   for (const auto &[name, policy] : Policies) {
     control::Route route;
@@ -53,7 +53,7 @@
   const auto &[name, policy] = Policies[i % std::size(Policies)];
   Client client;
   client.Id = ClientId{i + 1};
-  client.Front = &proxy;
+  client.Server = &proxy;
   client.View.Client = i + 1;
   client.Policy = policy;
   const auto organisations = proxy.configuration().Organisations.size();
@@ -68,7 +68,7 @@
 void ScheduledClients::step(TimePoint now) {
   Now = now;
   for (auto &it : Clients) {
-    takeAnswers(it);
+    handleReplies(it);
     if (!it.IsAwaiting && IsAsking && pick(8) == 0)
       ask(it);
   }
@@ -125,12 +125,12 @@
   // NOTE: what the reads of a transaction must see is set by its first
   // statement.
   if (!client.IsOpen)
-    Group.MustSee[statement.Id] = mustSee(client);
+    Group.RequiredWrites[statement.Id] = requiredWrites(client);
   if (statement.Mode == AccessMode::Write &&
       (statement.Kind == StatementKind::Write ||
        statement.Kind == StatementKind::Execute))
     client.Writes.push_back(statement.Id);
-  client.Front->clientAsked(Now, client.Id, statement);
+  client.Server->clientAsked(Now, client.Id, statement);
 }
 
 std::string ScheduledClients::textOf(const ClientStatement &statement) {
@@ -144,9 +144,10 @@
   }
 }
 
-std::set<std::string> ScheduledClients::mustSee(const Client &client) const {
+std::set<std::string>
+ScheduledClients::requiredWrites(const Client &client) const {
   std::set<std::string> writes;
-  for (const auto &it : Acks) {
+  for (const auto &it : AcknowledgedWrites) {
     const bool isOwn = it.Client == client.View.Client;
     const bool isOld = it.At + Staleness <= Now;
     if (client.Policy == ReadPolicy::Current || isOld ||
@@ -156,7 +157,7 @@
   return writes;
 }
 
-void ScheduledClients::takeAnswers(Client &client) {
+void ScheduledClients::handleReplies(Client &client) {
   auto &answers = Group.Answers[client.Id];
   while (!answers.empty()) {
     const StatementReply reply = answers.front();
@@ -165,11 +166,12 @@
       Fault = "an answer to nothing";
       return;
     }
-    take(client, reply);
+    handleReply(client, reply);
   }
 }
 
-void ScheduledClients::take(Client &client, const StatementReply &reply) {
+void ScheduledClients::handleReply(Client &client,
+                                   const StatementReply &reply) {
   client.IsAwaiting = false;
   const bool isLocal = client.Asked == StatementKind::Begin ||
                        client.Asked == StatementKind::Set ||
@@ -183,20 +185,21 @@
   client.IsOpen = reply.State == SessionState::InTransaction;
   client.HasFailed = reply.State == SessionState::Failed;
   const bool ends = !client.IsOpen && !client.HasFailed;
-  const bool isKept = isSuccess && (client.Asked == StatementKind::Commit ||
-                                    (!wasOpen && !isLocal));
-  if (isKept)
+  const bool isCommitted =
+      isSuccess &&
+      (client.Asked == StatementKind::Commit || (!wasOpen && !isLocal));
+  if (isCommitted)
     for (const auto &it : client.Writes)
-      Acks.push_back({it, Now, client.View.Client});
+      AcknowledgedWrites.push_back({it, Now, client.View.Client});
   // Every code but these reports that nothing of the attempt takes effect.
-  const bool isPromise =
+  const bool isReportedUndone =
       !isSuccess && reply.Code != ReplyCode::OutcomeUnknown &&
       reply.Code != ReplyCode::TimedOut && reply.Code != ReplyCode::Malformed;
   const bool isRolledBack = client.Asked == StatementKind::Rollback;
-  if (isPromise || (isRolledBack && isSuccess))
+  if (isReportedUndone || (isRolledBack && isSuccess))
     for (const auto &it : client.Writes)
-      Promised.insert(it);
-  if (ends || isPromise)
+      ReportedUndone.insert(it);
+  if (ends || isReportedUndone)
     client.Writes.clear();
 }
 
@@ -208,7 +211,7 @@
   for (const auto &[write, n] : runs) {
     if (n > 1)
       Fault = "a write was kept twice: " + write;
-    if (Promised.contains(write))
+    if (ReportedUndone.contains(write))
       Fault = "a refused write was kept: " + write;
   }
 }
--- a/src/proxy/tests/ScheduledClients.h
+++ b/src/proxy/tests/ScheduledClients.h
@@ -18,7 +18,7 @@
 
 /// The configuration of all schedules: one service, one route for each policy.
 /// Without \p organisations clients need no key.
-control::Configuration scheduleConfiguration(int mostConnections,
+control::Configuration scheduleConfiguration(int maxConnections,
                                              int organisations = 0);
 
 class ScheduledClients {
@@ -36,14 +36,14 @@
 
 private:
   /// A write whose commit was acknowledged to its client.
-  struct Acknowledged {
+  struct AcknowledgedWrite {
     std::string Write;
     TimePoint At{};
     std::uint64_t Client = 0;
   };
   struct Client {
     ClientId Id;
-    Proxy *Front = nullptr;
+    Proxy *Server = nullptr;
     control::ReadPolicy Policy = control::ReadPolicy::Current;
     SimulatedInstances::ClientView View;
     bool IsAwaiting = false;
@@ -59,16 +59,16 @@
   std::uint64_t pick(std::uint64_t n) { return Group.random()() % n; }
   void ask(Client &client);
   static std::string textOf(const ClientStatement &statement);
-  std::set<std::string> mustSee(const Client &client) const;
-  void takeAnswers(Client &client);
-  void take(Client &client, const StatementReply &reply);
+  std::set<std::string> requiredWrites(const Client &client) const;
+  void handleReplies(Client &client);
+  void handleReply(Client &client, const StatementReply &reply);
   void checkHistory();
 
   SimulatedInstances &Group;
   TimePoint Now{};
   std::vector<Client> Clients;
-  std::vector<Acknowledged> Acks;
-  std::set<std::string> Promised;
+  std::vector<AcknowledgedWrite> AcknowledgedWrites;
+  std::set<std::string> ReportedUndone;
   std::uint64_t LastId = 0;
   int Succeeded = 0;
   bool IsAsking = true;
--- a/src/proxy/tests/SilentConnectionTest.cpp
+++ b/src/proxy/tests/SilentConnectionTest.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 /// Answers all commands except those on \p silent.
-void answerOthers(Fixture &it, ConnectionId silent) {
+void answerAllExcept(Fixture &it, ConnectionId silent) {
   for (int n = 0; n < 20; ++n)
     for (auto &[id, commands] : it.Io.Sent) {
       if (id == silent || commands.empty())
@@ -32,8 +32,8 @@
 }
 
 /// Sends a write; returns its connection, which doesn't answer it.
-ConnectionId askOnASilentConnection(Fixture &it, ClientId client,
-                                    const char *text) {
+ConnectionId writeOnSilentConnection(Fixture &it, ClientId client,
+                                     const char *text) {
   it.ask(client, StatementKind::Write, text);
   const auto silent = it.carrierOf(text);
   REQUIRE(silent);
@@ -42,12 +42,12 @@
 
 /// Advances the time by 30 ms \p rounds times; other clients' writes are
 /// answered in each round.
-void letOthersWork(Fixture &it, ConnectionId silent, int rounds) {
+void runOtherClients(Fixture &it, ConnectionId silent, int rounds) {
   for (int i = 0; i < rounds; ++i) {
     const std::string text = "WRITE other " + std::to_string(i);
     it.ask(it.connect("current"), StatementKind::Write, text.c_str());
     it.advance(milliseconds(30));
-    answerOthers(it, silent);
+    answerAllExcept(it, silent);
   }
 }
 
@@ -63,7 +63,7 @@
     if (!commands.empty())
       silent = id;
   REQUIRE(it.instanceOf(silent) == "p");
-  letOthersWork(it, silent, 20);
+  runOtherClients(it, silent, 20);
   REQUIRE(!it.Io.Answers[client].empty());
   CHECK(it.lastAnswer(client).Code == ReplyCode::Success);
 }
@@ -72,8 +72,8 @@
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
-  const auto silent = askOnASilentConnection(it, client, "WRITE x 1");
-  letOthersWork(it, silent, 30);
+  const auto silent = writeOnSilentConnection(it, client, "WRITE x 1");
+  runOtherClients(it, silent, 30);
   REQUIRE(!it.Io.Answers[client].empty());
   CHECK(it.lastAnswer(client).Code == ReplyCode::OutcomeUnknown);
   for (const auto &[id, commands] : it.Io.Sent)
@@ -85,10 +85,10 @@
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
-  const auto silent = askOnASilentConnection(it, client, "WRITE x 1");
+  const auto silent = writeOnSilentConnection(it, client, "WRITE x 1");
   it.Core.clientLeft(it.Now, client);
   // 0.75 s: without regard to the later answers it would be kept for 2.5 s.
-  letOthersWork(it, silent, 25);
+  runOtherClients(it, silent, 25);
   CHECK(!it.Io.Opened.contains(silent));
 }
 
@@ -127,7 +127,7 @@
   const auto silent = it.beginTransaction(client);
   it.ask(client, StatementKind::Write, "WRITE y 1");
   // 0.36 s, of the route's statement timeout of 0.8 s.
-  letOthersWork(it, silent, 12);
+  runOtherClients(it, silent, 12);
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
   CHECK(!it.Io.Opened.contains(silent));
 }
@@ -152,8 +152,8 @@
   const auto silent = it.beginTransaction(client);
   const auto answered = it.Io.Answers[client].size();
   it.ask(client, StatementKind::Commit, "COMMIT");
-  letOthersWork(it, silent, 12);
+  runOtherClients(it, silent, 12);
   CHECK(it.Io.Answers[client].size() == answered);
-  letOthersWork(it, silent, 20);
+  runOtherClients(it, silent, 20);
   CHECK(it.lastAnswer(client).Code == ReplyCode::OutcomeUnknown);
 }
--- a/src/proxy/tests/SimulatedInstances.cpp
+++ b/src/proxy/tests/SimulatedInstances.cpp
@@ -32,9 +32,9 @@
 }
 
 Mark SimulatedInstances::positionOf(const Instance &instance) const {
-  if (instance.Held == 0)
+  if (instance.HeldCommits == 0)
     return {{1}, {0}};
-  return History[instance.Held - 1].Position;
+  return History[instance.HeldCommits - 1].Position;
 }
 
 void SimulatedInstances::announceAll() {
@@ -47,8 +47,8 @@
     record.Service = "db";
     record.Address = "10.0.0." + std::to_string(i) + ":1";
     record.Hall = HallId(i == 0 ? "a" : "b");
-    record.Role = i == Lead ? membership::InstanceRole::Primary
-                            : membership::InstanceRole::Replica;
+    record.Role = i == PrimaryIndex ? membership::InstanceRole::Primary
+                                    : membership::InstanceRole::Replica;
     record.Slots = 3;
     record.Sequence = ++it.Sequence;
     for (auto *proxy : Proxies)
@@ -61,7 +61,7 @@
   Events.push_back(std::move(event));
 }
 
-bool SimulatedInstances::isHeldUp(const Event &event) const {
+bool SimulatedInstances::isBlocked(const Event &event) const {
   const auto it = Connections.find(event.Target);
   return !event.IsLoss && it != Connections.end() &&
          Instances[it->second.Instance].IsSilent;
@@ -75,7 +75,7 @@
     // are delivered in order once it resumes.
     auto next = Events.end();
     for (auto it = Events.begin(); it != Events.end(); ++it) {
-      if (it->At > now || isHeldUp(*it))
+      if (it->At > now || isBlocked(*it))
         continue;
       if (next == Events.end() ||
           std::pair(it->At, it->Order) < std::pair(next->At, next->Order))
@@ -92,9 +92,9 @@
 void SimulatedInstances::replicate() {
   for (std::size_t i = 0; i < Instances.size(); ++i) {
     auto &it = Instances[i];
-    while (it.IsUp && i != Lead && it.Held < History.size() &&
-           History[it.Held].At + it.Lag <= Now)
-      ++it.Held;
+    while (it.IsUp && i != PrimaryIndex && it.HeldCommits < History.size() &&
+           History[it.HeldCommits].At + it.Lag <= Now)
+      ++it.HeldCommits;
   }
 }
 
@@ -133,7 +133,7 @@
   Connections.erase(connection);
 }
 
-void SimulatedInstances::lose(ConnectionId connection) {
+void SimulatedInstances::loseConnection(ConnectionId connection) {
   if (Connections.erase(connection) == 0)
     return;
   Event event;
@@ -145,7 +145,7 @@
 
 void SimulatedInstances::deliver(Event event) {
   if (event.IsLoss)
-    return tellOwner(event.Target, [this](Proxy &proxy, ConnectionId id) {
+    return notifyOwner(event.Target, [this](Proxy &proxy, ConnectionId id) {
       proxy.connectionLost(Now, id);
     });
   const auto it = Connections.find(event.Target);
@@ -155,7 +155,7 @@
   if (event.Reply) {
     if (event.IsConnect && event.Reply->Code != ReplyCode::Success)
       Connections.erase(it);
-    return tellOwner(event.Target, [&](Proxy &proxy, ConnectionId id) {
+    return notifyOwner(event.Target, [&](Proxy &proxy, ConnectionId id) {
       if (event.IsConnect)
         proxy.connectionReady(Now, id, *event.Reply);
       else
@@ -163,7 +163,7 @@
     });
   }
   if (!instance.IsUp)
-    return lose(event.Target);
+    return loseConnection(event.Target);
   Event answer;
   auto &repliedAt = it->second.RepliedAt;
   repliedAt = std::max(repliedAt, Now + draw(1, 3));
@@ -174,7 +174,7 @@
       Connections.begin(), Connections.end(), [&](const auto &other) {
         return other.second.Instance == it->second.Instance;
       });
-  if (event.IsConnect && static_cast<std::size_t>(open) > MostConnections) {
+  if (event.IsConnect && static_cast<std::size_t>(open) > MaxConnections) {
     answer.Reply = refusal(ReplyCode::TooManyConnections, SessionState::Idle);
   } else if (event.IsConnect) {
     answer.Reply = StatementReply();
@@ -189,29 +189,29 @@
 StatementReply SimulatedInstances::run(Connection &connection,
                                        const InstanceCommand &command) {
   auto &instance = Instances[connection.Instance];
-  const bool isLead = connection.Instance == Lead;
+  const bool isPrimary = connection.Instance == PrimaryIndex;
   const auto stateNow = [&] {
     return connection.HasFailed ? SessionState::Failed
            : connection.IsOpen  ? SessionState::InTransaction
                                 : SessionState::Idle;
   };
   StatementReply reply;
-  const bool isBehind = command.MinimumPosition &&
-                        positionOf(instance) < *command.MinimumPosition;
+  const bool isLagging = command.MinimumPosition &&
+                         positionOf(instance) < *command.MinimumPosition;
   switch (command.Kind) {
   case CommandKind::Begin:
   case CommandKind::BeginRead:
     if (connection.IsOpen)
       Fault = "a transaction begins inside another one";
-    if (isBehind)
+    if (isLagging)
       return refusal(ReplyCode::Lagging, SessionState::Idle);
-    if (command.Kind == CommandKind::Begin && !isLead)
+    if (command.Kind == CommandKind::Begin && !isPrimary)
       return refusal(ReplyCode::ReadOnly, SessionState::Idle);
     connection.IsOpen = true;
     connection.IsReadOnly = command.Kind == CommandKind::BeginRead;
     connection.Owner.reset();
     connection.Writes.clear();
-    connection.BegunInTerm = Term;
+    connection.BeginTerm = Term;
     break;
   case CommandKind::Rollback:
     connection.IsOpen = false;
@@ -231,7 +231,7 @@
   case CommandKind::ClientExecute:
     if (connection.HasFailed)
       return refusal(ReplyCode::Malformed, SessionState::Failed);
-    if (isBehind)
+    if (isLagging)
       return refusal(ReplyCode::Lagging, stateNow());
     if (std::bernoulli_distribution(BusyShare)(Random))
       return refusal(ReplyCode::Busy, stateNow());
@@ -249,7 +249,7 @@
 StatementReply SimulatedInstances::runClient(Connection &connection,
                                              const InstanceCommand &command) {
   auto &instance = Instances[connection.Instance];
-  const bool isLead = connection.Instance == Lead;
+  const bool isPrimary = connection.Instance == PrimaryIndex;
   checkView(connection, command);
   const std::uint64_t client = Views[command.Id].Client;
   if (connection.Organisation != Views[command.Id].Organisation)
@@ -260,9 +260,9 @@
   if (connection.IsOpen && connection.Owner != client)
     Fault =
         "a statement runs inside another client's transaction: " + command.Id;
-  const bool isPlain = connection.IsOpen && !connection.IsReadOnly;
-  const bool hasLostLead =
-      isPlain && (!isLead || connection.BegunInTerm != Term);
+  const bool isReadWrite = connection.IsOpen && !connection.IsReadOnly;
+  const bool hasLostPrimaryRole =
+      isReadWrite && (!isPrimary || connection.BeginTerm != Term);
   StatementReply reply;
   reply.Signature = "signed " + command.Id;
   const bool isCommit = command.Text == "COMMIT";
@@ -273,7 +273,7 @@
   if (isCommit) {
     if (!connection.IsOpen)
       Fault = "a commit comes outside a transaction";
-    if (hasLostLead && !connection.Writes.empty())
+    if (hasLostPrimaryRole && !connection.Writes.empty())
       return refusal(ReplyCode::ReadOnly, SessionState::Failed);
     if (!connection.Writes.empty())
       commit(connection.Instance, std::move(connection.Writes));
@@ -281,7 +281,7 @@
     connection.IsOpen = false;
     return reply;
   }
-  if (hasLostLead || (isWrite && !isLead))
+  if (hasLostPrimaryRole || (isWrite && !isPrimary))
     return refusal(ReplyCode::ReadOnly, SessionState::Idle);
   if (isWrite && connection.IsOpen)
     connection.Writes.push_back(command.Id);
@@ -305,21 +305,21 @@
     return;
   const auto known = connection.Prepared.find(command.Name);
   const auto &wanted = view->second.Prepared;
-  const bool isRight =
+  const bool isWanted =
       known != connection.Prepared.end() &&
       std::any_of(wanted.begin(), wanted.end(),
                   [&](const auto &it) { return it.second == known->second; });
-  if (!isRight)
+  if (!isWanted)
     Fault = "a prepared statement runs another shape: " + command.Id;
 }
 
 void SimulatedInstances::checkRead(const Instance &instance,
                                    const InstanceCommand &command) {
-  const auto wanted = MustSee.find(command.Id);
-  if (wanted == MustSee.end())
+  const auto wanted = RequiredWrites.find(command.Id);
+  if (wanted == RequiredWrites.end())
     return;
   std::set<std::string> missing = wanted->second;
-  for (std::size_t i = 0; i < instance.Held; ++i)
+  for (std::size_t i = 0; i < instance.HeldCommits; ++i)
     for (const auto &it : History[i].Writes)
       missing.erase(it);
   // Commits that a promotion has rolled back needn't be seen.
@@ -337,17 +337,17 @@
   const Mark last = positionOf(it);
   const Mark next{{Term}, {last.Position.Offset + 1}};
   History.push_back({next, std::move(writes), Now});
-  it.Held = History.size();
+  it.HeldCommits = History.size();
 }
 
 void SimulatedInstances::promote(std::size_t instance) {
-  if (!Instances[instance].IsUp || instance == Lead)
+  if (!Instances[instance].IsUp || instance == PrimaryIndex)
     return;
-  Lead = instance;
+  PrimaryIndex = instance;
   ++Term;
-  History.resize(Instances[instance].Held);
+  History.resize(Instances[instance].HeldCommits);
   for (auto &it : Instances)
-    it.Held = std::min(it.Held, History.size());
+    it.HeldCommits = std::min(it.HeldCommits, History.size());
   for (auto *proxy : Proxies)
     proxy->applyPromotion(Now, "db", {InstanceId(idOf(instance)), 0, Term});
 }
@@ -358,17 +358,17 @@
     if (Random() % 2)
       chosen.push_back(id);
   for (const auto id : chosen)
-    lose(id);
+    loseConnection(id);
 }
 
 void SimulatedInstances::crash(std::size_t instance) {
   Instances[instance].IsUp = false;
-  std::vector<ConnectionId> gone;
+  std::vector<ConnectionId> lost;
   for (const auto &[id, it] : Connections)
     if (it.Instance == instance)
-      gone.push_back(id);
-  for (const auto id : gone)
-    lose(id);
+      lost.push_back(id);
+  for (const auto id : lost)
+    loseConnection(id);
 }
 
 void SimulatedInstances::restart(std::size_t instance) {
--- a/src/proxy/tests/SimulatedInstances.h
+++ b/src/proxy/tests/SimulatedInstances.h
@@ -40,7 +40,7 @@
     return ConnectionId{static_cast<std::uint64_t>(proxy) << ProxyShift};
   }
   /// Refuses connections to an instance beyond this number.
-  void setMostConnections(std::size_t n) { MostConnections = n; }
+  void setMostConnections(std::size_t n) { MaxConnections = n; }
   /// Advances the time and delivers the events that are due.
   void advance(TimePoint now);
   void announceAll();
@@ -55,7 +55,7 @@
   void silence(std::size_t instance, bool isSilent);
   void setBusyShare(double share) { BusyShare = share; }
 
-  std::size_t primary() const { return Lead; }
+  std::size_t primary() const { return PrimaryIndex; }
   std::size_t size() const { return Instances.size(); }
   bool isUp(std::size_t instance) const { return Instances[instance].IsUp; }
   /// The commits that no promotion has rolled back.
@@ -73,7 +73,7 @@
   };
   std::map<std::string, ClientView> Views;
   /// By statement id: the commits that its read must see.
-  std::map<std::string, std::set<std::string>> MustSee;
+  std::map<std::string, std::set<std::string>> RequiredWrites;
   std::map<ClientId, std::deque<StatementReply>> Answers;
   std::set<ClientId> Accepted;
 
@@ -120,7 +120,7 @@
     bool IsSilent = false;
     Duration Lag = milliseconds(30);
     /// The number of commits of the history that it has.
-    std::size_t Held = 0;
+    std::size_t HeldCommits = 0;
     std::uint64_t Term = 1;
     std::uint64_t Sequence = 0;
   };
@@ -137,7 +137,7 @@
     bool HasFailed = false;
     std::optional<std::uint64_t> Owner;
     std::vector<std::string> Writes;
-    std::uint64_t BegunInTerm = 0;
+    std::uint64_t BeginTerm = 0;
   };
   struct Event {
     TimePoint At{};
@@ -150,7 +150,7 @@
   };
 
   void post(Event event);
-  bool isHeldUp(const Event &event) const;
+  bool isBlocked(const Event &event) const;
   void deliver(Event event);
   StatementReply run(Connection &connection, const InstanceCommand &command);
   StatementReply runClient(Connection &connection,
@@ -160,21 +160,21 @@
   Mark positionOf(const Instance &instance) const;
   void commit(std::size_t instance, std::vector<std::string> writes);
   void replicate();
-  void lose(ConnectionId connection);
+  void loseConnection(ConnectionId connection);
   Duration draw(int least, int most);
 
   static constexpr unsigned ProxyShift = 40;
-  /// Calls \p tell with the proxy that opened the connection and the
+  /// Calls \p notify with the proxy that opened the connection and the
   /// connection's id there.
-  template <typename Tell> void tellOwner(ConnectionId id, Tell tell) {
+  template <typename Notify> void notifyOwner(ConnectionId id, Notify notify) {
     const std::size_t owner = id.Number >> ProxyShift;
-    tell(*Proxies[owner], ConnectionId{id.Number - idBase(owner).Number});
+    notify(*Proxies[owner], ConnectionId{id.Number - idBase(owner).Number});
   }
 
   std::vector<Proxy *> Proxies;
-  std::size_t MostConnections = 1000;
+  std::size_t MaxConnections = 1000;
   std::vector<Instance> Instances;
-  std::size_t Lead = 0;
+  std::size_t PrimaryIndex = 0;
   std::uint64_t Term = 1;
   std::vector<Commit> History;
   std::map<ConnectionId, Connection> Connections;
--- a/src/proxy/tests/UnevenGroup.cpp
+++ b/src/proxy/tests/UnevenGroup.cpp
@@ -52,12 +52,12 @@
     (void)reply;
   }
   void answerClient(ClientId client, const StatementReply &reply) override {
-    const auto asked = Reads.extract(client);
-    if (asked.empty())
+    const auto read = PendingReads.extract(client);
+    if (read.empty())
       return;
-    auto &tally = *asked.mapped().Tally;
+    auto &tally = *read.mapped().Tally;
     const bool isSuccess = reply.Code == ReplyCode::Success;
-    const Duration took = Group.Now - asked.mapped().At;
+    const Duration took = Group.Now - read.mapped().At;
     tally.Good += isSuccess && took <= Objective;
     tally.Prompt += isSuccess && took <= TightestObjective;
     tally.Failed += !isSuccess;
@@ -94,7 +94,7 @@
     send(id, commands);
   }
   void decision(const std::string &line) override {
-    OutlierLines += line.starts_with("event=instance_outlier ");
+    OutlierLogLines += line.starts_with("event=instance_outlier ");
   }
   void answerBorrower(const BorrowKey &key,
                       const std::vector<StatementReply> &replies) override {
@@ -128,10 +128,10 @@
   quota::tests::NoQuota Quota;
   std::unique_ptr<Proxy> Core;
   std::map<ConnectionId, Connection> Connections;
-  std::map<ClientId, Asked> Reads;
-  std::map<std::string, Duration> Links;
+  std::map<ClientId, PendingRead> PendingReads;
+  std::map<std::string, Duration> LinkDelays;
   std::uint64_t LastClient = 0;
-  int OutlierLines = 0;
+  int OutlierLogLines = 0;
 
 private:
   void run(ConnectionId id, const InstanceCommand &command) {
@@ -154,7 +154,7 @@
     }
     auto &repliedAt = connection.RepliedAt;
     repliedAt =
-        std::max(repliedAt, done + milliseconds(1) + Links[instance.Name]);
+        std::max(repliedAt, done + milliseconds(1) + LinkDelays[instance.Name]);
     Group.at(repliedAt, [this, id, reply] {
       if (Connections.contains(id))
         Core->connectionAnswered(Group.Now, id, reply);
@@ -205,28 +205,28 @@
                        [&](const auto &it) { return it.Name == name; });
 }
 
-void UnevenGroup::setUp(const std::string &name, bool isUp) {
+void UnevenGroup::setIsUp(const std::string &name, bool isUp) {
   instance(name).IsUp = isUp;
   if (!isUp)
     for (auto &it : Vms)
       it->loseAll(name);
 }
 
-void UnevenGroup::setLink(std::size_t vm, const std::string &instance,
-                          Duration extra) {
-  Vms[vm]->Links[instance] = extra;
+void UnevenGroup::setLinkDelay(std::size_t vm, const std::string &instance,
+                               Duration extra) {
+  Vms[vm]->LinkDelays[instance] = extra;
 }
 
-void UnevenGroup::forgetCounts() {
+void UnevenGroup::resetCounts() {
   for (auto &it : Instances)
     it.Reads = 0;
 }
 
-int UnevenGroup::outlierLines(std::size_t vm) const {
-  return Vms[vm]->OutlierLines;
+int UnevenGroup::outlierLogLines(std::size_t vm) const {
+  return Vms[vm]->OutlierLogLines;
 }
 
-int UnevenGroup::sendings() const {
+int UnevenGroup::sentReads() const {
   int n = 0;
   for (const auto &it : Instances)
     n += it.Reads;
@@ -252,7 +252,7 @@
 
 void UnevenGroup::startRead(Vm &vm, ReadTally &tally) {
   const ClientId client{++vm.LastClient};
-  vm.Reads[client] = {Now, &tally};
+  vm.PendingReads[client] = {Now, &tally};
   ++tally.Asked;
   vm.Core->clientConnected(Now, client, DatabaseId("bounded"));
   ClientStatement statement;
@@ -262,7 +262,7 @@
   vm.Core->clientAsked(Now, client, statement);
 }
 
-const ReadTally &UnevenGroup::play(Duration time, double rate) {
+const ReadTally &UnevenGroup::runFor(Duration time, double rate) {
   auto &tally = Tallies.emplace_back();
   const TimePoint end = Now + time;
   const std::chrono::duration<double> step = TickTime;
--- a/src/proxy/tests/UnevenGroup.h
+++ b/src/proxy/tests/UnevenGroup.h
@@ -58,22 +58,23 @@
 
   /// Advances the time by \p time, with \p rate reads a second over all VMs.
   /// The tally also counts the answers that arrive later.
-  const ReadTally &play(Duration time, double rate);
+  const ReadTally &runFor(Duration time, double rate);
   /// An instance that goes down loses its connections.
-  void setUp(const std::string &name, bool isUp);
+  void setIsUp(const std::string &name, bool isUp);
   Instance &instance(const std::string &name);
   Proxy &vm(std::size_t n);
   /// How often the VM logged that an instance became an outlier or recovered.
-  int outlierLines(std::size_t vm) const;
+  int outlierLogLines(std::size_t vm) const;
   /// Delays answers from the instance to this VM by \p extra.
-  void setLink(std::size_t vm, const std::string &instance, Duration extra);
+  void setLinkDelay(std::size_t vm, const std::string &instance,
+                    Duration extra);
   /// Reads sent to all instances, second attempts included.
-  int sendings() const;
-  void forgetCounts();
+  int sentReads() const;
+  void resetCounts();
 
 private:
   class Vm;
-  struct Asked {
+  struct PendingRead {
     TimePoint At{};
     ReadTally *Tally = nullptr;
   };
--- a/src/proxy/tests/UnevenInstancesTest.cpp
+++ b/src/proxy/tests/UnevenInstancesTest.cpp
@@ -23,22 +23,22 @@
 
 /// Reads a second; two instances serve 600, so the siblings of one instance
 /// have capacity for all.
-constexpr double Rate = 300;
+constexpr double ReadRate = 300;
 /// Least share of good reads, from two seconds after the fault begins.
-constexpr double GoodShare = 0.95;
+constexpr double MinGoodShare = 0.95;
 /// Greatest share of reads that are sent twice, also right after the fault
 /// begins.
-constexpr double SecondTryShare = 0.05;
+constexpr double MaxSecondTryShare = 0.05;
 /// Least share of reads within the tightest objective: of the reads that probe
 /// an outlier, at most one in five may exceed it, which is one in 200 of all.
-constexpr double PromptShare = 0.995;
-constexpr Duration Warm = milliseconds(4000);
-constexpr Duration Notice = milliseconds(2000);
+constexpr double MinPromptShare = 0.995;
+constexpr Duration WarmUpTime = milliseconds(4000);
+constexpr Duration DetectionTime = milliseconds(2000);
 /// Time for the outstanding answers.
-constexpr Duration Rest = milliseconds(1500);
+constexpr Duration DrainTime = milliseconds(1500);
 
-double secondTries(const UnevenGroup &group, const ReadTally &tally) {
-  return static_cast<double>(group.sendings() - tally.Asked) / tally.Asked;
+double secondTryShare(const UnevenGroup &group, const ReadTally &tally) {
+  return static_cast<double>(group.sentReads() - tally.Asked) / tally.Asked;
 }
 
 } // namespace
@@ -150,23 +150,23 @@
 TEST_CASE("UnevenInstances_SlowReplicaIsLeftToItsSiblings") {
   for (const std::uint64_t seed : {1, 2, 3}) {
     UnevenGroup group(seed, 4);
-    group.play(Warm, Rate);
-    group.forgetCounts();
+    group.runFor(WarmUpTime, ReadRate);
+    group.resetCounts();
     group.instance("r1").Slowness = 6;
-    const auto &first = group.play(Notice, Rate);
-    CHECK(secondTries(group, first) <= SecondTryShare);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(4000), Rate);
-    CHECK(secondTries(group, tally) <= SecondTryShare);
+    const auto &first = group.runFor(DetectionTime, ReadRate);
+    CHECK(secondTryShare(group, first) <= MaxSecondTryShare);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+    CHECK(secondTryShare(group, tally) <= MaxSecondTryShare);
     group.instance("r1").Slowness = 1;
-    group.play(milliseconds(8000), Rate);
-    group.forgetCounts();
-    const auto &after = group.play(milliseconds(2000), Rate);
+    group.runFor(milliseconds(8000), ReadRate);
+    group.resetCounts();
+    const auto &after = group.runFor(milliseconds(2000), ReadRate);
     const int back = group.instance("r1").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " first ", first.goodShare(), " then ",
          tally.goodShare(), " back ", back, " of ", after.Asked);
-    CHECK(tally.goodShare() >= GoodShare);
+    CHECK(tally.goodShare() >= MinGoodShare);
     // It gets its share of the reads again.
     CHECK(back > after.Asked / 5);
   }
@@ -177,39 +177,39 @@
   // probe it meet the objective nevertheless.
   for (const std::uint64_t seed : {11, 12, 13}) {
     UnevenGroup group(seed, 4);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     group.instance("r1").Slowness = 40;
-    group.play(Notice, Rate);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(4000), Rate);
-    const double tries = secondTries(group, tally);
+    group.runFor(DetectionTime, ReadRate);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+    const double tries = secondTryShare(group, tally);
     const int there = group.instance("r1").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " prompt ", tally.promptShare(), " twice ", tries,
          " there ", there, " of ", tally.Asked);
     CHECK(there > 0);
-    CHECK(tally.promptShare() >= PromptShare);
-    CHECK(tries <= SecondTryShare);
+    CHECK(tally.promptShare() >= MinPromptShare);
+    CHECK(tries <= MaxSecondTryShare);
   }
 }
 
 TEST_CASE("UnevenInstances_FailingReplicaIsLeftToItsSiblings") {
-  for (const bool isQuick : {false, true})
+  for (const bool isFast : {false, true})
     for (const std::uint64_t seed : {1, 2, 3}) {
       UnevenGroup group(seed, 4);
-      group.play(Warm, Rate);
+      group.runFor(WarmUpTime, ReadRate);
       group.instance("r1").FailingShare = 0.4;
-      group.instance("r1").FailsFast = isQuick;
-      group.play(Notice, Rate);
-      group.forgetCounts();
-      const auto &tally = group.play(milliseconds(4000), Rate);
-      const double tries = secondTries(group, tally);
+      group.instance("r1").FailsFast = isFast;
+      group.runFor(DetectionTime, ReadRate);
+      group.resetCounts();
+      const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+      const double tries = secondTryShare(group, tally);
       const int there = group.instance("r1").Reads;
-      group.play(Rest, 0);
-      INFO("seed ", seed, " quick ", isQuick, " good ", tally.goodShare(),
+      group.runFor(DrainTime, 0);
+      INFO("seed ", seed, " quick ", isFast, " good ", tally.goodShare(),
            " twice ", tries, " there ", there, " of ", tally.Asked);
-      CHECK(tally.goodShare() >= GoodShare);
-      CHECK(tries <= SecondTryShare);
+      CHECK(tally.goodShare() >= MinGoodShare);
+      CHECK(tries <= MaxSecondTryShare);
     }
 }
 
@@ -217,80 +217,80 @@
   for (const std::uint64_t seed :
        {4, 101, 102, 103, 104, 105, 106, 107, 108, 109, 110}) {
     UnevenGroup group(seed, 4);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     group.instance("r1").FailingShare = 1.0;
     group.instance("r1").FailsFast = true;
-    group.play(Notice, Rate);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(4000), Rate);
-    const double tries = secondTries(group, tally);
+    group.runFor(DetectionTime, ReadRate);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+    const double tries = secondTryShare(group, tally);
     const int there = group.instance("r1").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " good ", tally.goodShare(), " twice ", tries,
          " there ", there, " of ", tally.Asked);
-    CHECK(tally.goodShare() >= GoodShare);
-    CHECK(tries <= SecondTryShare);
+    CHECK(tally.goodShare() >= MinGoodShare);
+    CHECK(tries <= MaxSecondTryShare);
   }
 }
 
 TEST_CASE("UnevenInstances_FlappingReplicaIsLeftToItsSiblings") {
   for (const std::uint64_t seed : {1, 2, 3}) {
     UnevenGroup group(seed, 4);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     std::vector<const ReadTally *> tallies;
     const auto flap = [&](int times) {
       tallies.clear();
       for (int i = 0; i < times; ++i)
         for (const bool isUp : {false, true}) {
-          group.setUp("r1", isUp);
-          tallies.push_back(&group.play(milliseconds(400), Rate));
+          group.setIsUp("r1", isUp);
+          tallies.push_back(&group.runFor(milliseconds(400), ReadRate));
         }
     };
     flap(3);
-    group.forgetCounts();
+    group.resetCounts();
     flap(5);
-    const int sent = group.sendings();
-    group.play(Rest, 0);
+    const int sent = group.sentReads();
+    group.runFor(DrainTime, 0);
     ReadTally all;
     for (const auto *it : tallies) {
       all.Asked += it->Asked;
       all.Good += it->Good;
     }
-    CHECK(all.goodShare() >= GoodShare);
+    CHECK(all.goodShare() >= MinGoodShare);
     const double tries = static_cast<double>(sent - all.Asked) / all.Asked;
-    CHECK(tries <= SecondTryShare);
+    CHECK(tries <= MaxSecondTryShare);
     // One log line when it becomes an outlier and one when it recovers, which
     // takes longer than it is up here.
     for (const std::size_t vm : {0, 1, 2, 3})
-      CHECK(group.outlierLines(vm) <= 2);
+      CHECK(group.outlierLogLines(vm) <= 2);
   }
 }
 
 TEST_CASE("UnevenInstances_OnlyTheVmWithTheBadLinkTurnsAway") {
   UnevenGroup group(5, 4);
-  group.play(Warm, Rate);
-  group.setLink(0, "r1", milliseconds(60));
-  group.play(Notice, Rate);
+  group.runFor(WarmUpTime, ReadRate);
+  group.setLinkDelay(0, "r1", milliseconds(60));
+  group.runFor(DetectionTime, ReadRate);
   CHECK(group.vm(0).heldBackInstances() == 1);
-  CHECK(group.outlierLines(0) == 1);
+  CHECK(group.outlierLogLines(0) == 1);
   for (const std::size_t other : {1, 2, 3}) {
     CHECK(group.vm(other).heldBackInstances() == 0);
-    CHECK(group.outlierLines(other) == 0);
+    CHECK(group.outlierLogLines(other) == 0);
   }
-  const auto &tally = group.play(milliseconds(2000), Rate);
-  group.play(Rest, 0);
-  CHECK(tally.goodShare() >= GoodShare);
+  const auto &tally = group.runFor(milliseconds(2000), ReadRate);
+  group.runFor(DrainTime, 0);
+  CHECK(tally.goodShare() >= MinGoodShare);
 }
 
 TEST_CASE("UnevenInstances_GroupThatIsSlowAsAWholeKeepsAll") {
   UnevenGroup group(6, 4);
-  group.play(Warm, Rate);
+  group.runFor(WarmUpTime, ReadRate);
   for (const char *name : {"p", "r1", "r2"})
     group.instance(name).Slowness = 2.5;
   for (int i = 0; i < 20; ++i) {
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(200), Rate / 2);
-    CHECK(secondTries(group, tally) <= SecondTryShare);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(200), ReadRate / 2);
+    CHECK(secondTryShare(group, tally) <= MaxSecondTryShare);
     for (const std::size_t vm : {0, 1, 2, 3})
       CHECK(group.vm(vm).heldBackInstances() == 0);
   }
@@ -298,18 +298,18 @@
 
 TEST_CASE("UnevenInstances_ManyVmsDontTurnToOneSiblingAtOnce") {
   UnevenGroup group(7, 70);
-  group.play(Warm, Rate);
+  group.runFor(WarmUpTime, ReadRate);
   group.instance("r1").Slowness = 6;
-  group.play(Notice, Rate);
-  group.forgetCounts();
-  const auto &tally = group.play(milliseconds(4000), Rate);
-  const double tries = secondTries(group, tally);
-  group.play(Rest, 0);
+  group.runFor(DetectionTime, ReadRate);
+  group.resetCounts();
+  const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+  const double tries = secondTryShare(group, tally);
+  group.runFor(DrainTime, 0);
   INFO("good ", tally.goodShare(), " twice ", tries, " p ",
        group.instance("p").Reads, " r1 ", group.instance("r1").Reads, " r2 ",
        group.instance("r2").Reads);
-  CHECK(tally.goodShare() >= GoodShare);
-  CHECK(tries <= SecondTryShare);
+  CHECK(tally.goodShare() >= MinGoodShare);
+  CHECK(tries <= MaxSecondTryShare);
 }
 
 // Guards against VMs with few reads that drop a replica's failures between two
@@ -317,23 +317,23 @@
 TEST_CASE("UnevenInstances_ManyVmsKeepAwayWhileAReplicaFails") {
   for (const std::uint64_t seed : {21, 22, 23}) {
     UnevenGroup group(seed, 70);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     group.instance("r1").FailingShare = 0.4;
-    group.play(Notice, Rate);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(15000), Rate);
-    const double tries = secondTries(group, tally);
+    group.runFor(DetectionTime, ReadRate);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(15000), ReadRate);
+    const double tries = secondTryShare(group, tally);
     group.instance("r1").FailingShare = 0;
-    group.play(milliseconds(6000), Rate);
-    group.forgetCounts();
-    group.play(milliseconds(3000), Rate);
+    group.runFor(milliseconds(6000), ReadRate);
+    group.resetCounts();
+    group.runFor(milliseconds(3000), ReadRate);
     const int back = group.instance("r1").Reads;
     const int sibling = group.instance("r2").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " good ", tally.goodShare(), " twice ", tries, " back ",
          back, " sibling ", sibling);
-    CHECK(tally.goodShare() >= GoodShare);
-    CHECK(tries <= SecondTryShare);
+    CHECK(tally.goodShare() >= MinGoodShare);
+    CHECK(tries <= MaxSecondTryShare);
     // It gets its reads again once it has recovered.
     CHECK(back >= sibling / 2);
   }
@@ -343,17 +343,17 @@
   // Four reads a second by each VM, so one or two at each instance.
   for (const std::uint64_t seed : {21, 22, 23}) {
     UnevenGroup group(seed, 70);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     group.instance("r1").FailingShare = 0.4;
-    group.play(Notice, Rate);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(4000), Rate);
-    const double tries = secondTries(group, tally);
+    group.runFor(DetectionTime, ReadRate);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+    const double tries = secondTryShare(group, tally);
     const int there = group.instance("r1").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " good ", tally.goodShare(), " twice ", tries,
          " there ", there, " of ", tally.Asked);
-    CHECK(tally.goodShare() >= GoodShare);
-    CHECK(tries <= SecondTryShare);
+    CHECK(tally.goodShare() >= MinGoodShare);
+    CHECK(tries <= MaxSecondTryShare);
   }
 }
