--- a/src/proxy/internal/ConnectionPool.cpp
+++ b/src/proxy/internal/ConnectionPool.cpp
@@ -89,7 +89,7 @@
   // NOTE: the connection idle longest often belongs to an organisation that
   // needs it again soon. Where few organisations cause most of the load,
   // closing it costs 59 openings for 100 uses, and closing by the rate of use
-  // 46 (ConnectionPool_FewOpeningsWhereFewAskForMuch).
+  // 46 (ConnectionPool_SkewedLoadOpensFewConnections).
   const auto &rates = Rates[instance];
   const auto rank = [&](const InstanceConnection &it) {
     const double rate = it.Organisation ? rates.of(now, *it.Organisation) : 0;
--- a/src/proxy/tests/ConnectionPoolTest.cpp
+++ b/src/proxy/tests/ConnectionPoolTest.cpp
@@ -81,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE("ConnectionPool_FewOpeningsWhereFewAskForMuch") {
+TEST_CASE("ConnectionPool_SkewedLoadOpensFewConnections") {
   // 59 to 60 if the connection idle longest is closed, 45 to 47 by the rate of
   // use.
   for (const unsigned seed : {1U, 2U, 3U}) {
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("ConnectionPool_RareUseMakesRoomNotTheFrequentOne") {
+TEST_CASE("ConnectionPool_RarelyUsedConnectionIsEvicted") {
   Home home;
   for (int i = 0; i < 10; ++i)
     for (std::size_t n = 0; n < HomeConnections; ++n)
@@ -107,7 +107,7 @@
   CHECK(kept == HomeConnections - 1);
 }
 
-TEST_CASE("ConnectionPool_WhatWasFrequentOnceMakesRoomInTheEnd") {
+TEST_CASE("ConnectionPool_FormerlyFrequentUsersAreEvictedEventually") {
   Home home;
   // Four organisations each use a connection twice a second for 30 s.
   for (int i = 0; i < 240; ++i) {
@@ -124,7 +124,7 @@
     CHECK(home.holds(organisation(n)));
 }
 
-TEST_CASE("ConnectionPool_OneForQuestionsMakesRoomFirst") {
+TEST_CASE("ConnectionPool_ProbeConnectionIsEvictedFirst") {
   Home home;
   REQUIRE(home.Pool.openOne(home.Now, home.Instance,
                             {HomeConnections, HomeConnections}, "",
@@ -135,7 +135,7 @@
     CHECK(home.holds(organisation(n)));
 }
 
-TEST_CASE("ConnectionPool_HomeOfAFullInstanceServesWhoeverComes") {
+TEST_CASE("ConnectionPool_HomeOfAFullInstanceServesAnyOrganisation") {
   Home home;
   home.use(organisation(1));
   home.use(organisation(2));
@@ -146,7 +146,7 @@
   CHECK(home.holds(organisation(3)));
 }
 
-TEST_CASE("ConnectionPool_VmWithoutOneWaitsForRoomAtAFullInstance") {
+TEST_CASE("ConnectionPool_VmWithoutConnectionsOpensNoneAtAFullInstance") {
   Home home;
   home.Pool.refuseUntil(home.Instance.Id, home.Now + milliseconds(1000));
   CHECK_FALSE(home.Pool.openOne(home.Now, home.Instance,
@@ -155,7 +155,7 @@
   CHECK(home.Io.Opened.empty());
 }
 
-TEST_CASE("UseRates_WhoNoLongerAsksIsForgotten") {
+TEST_CASE("UseRates_InactiveOrganisationsAreRemoved") {
   UseRates rates;
   TimePoint now(std::chrono::seconds(1));
   for (std::size_t i = 0; i < 1000; ++i) {
--- a/src/proxy/tests/ProxyScheduleTest.cpp
+++ b/src/proxy/tests/ProxyScheduleTest.cpp
@@ -121,7 +121,7 @@
 
 } // namespace
 
-TEST_CASE("Proxy_SchedulesKeepThePromises") {
+TEST_CASE("Proxy_SchedulesKeepTheGuarantees") {
   const std::uint64_t first = numberFrom("STEPLEDGE_FIRST_SEED", 1);
   const std::uint64_t count = numberFrom("STEPLEDGE_SEEDS", 40);
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
--- a/src/proxy/tests/RestartedInstanceTest.cpp
+++ b/src/proxy/tests/RestartedInstanceTest.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("RestartedInstance_NoConnectionOfTheEarlierLifeIsUsedAgain") {
+TEST_CASE("RestartedInstance_NoConnectionOfTheEarlierIncarnationIsReused") {
   ProxyFixture it;
   announceFirstIncarnations(it);
   const auto before = connectionsTo(it, "p");
@@ -58,7 +58,7 @@
     CHECK(!before.contains(id));
 }
 
-TEST_CASE("RestartedInstance_TransactionOfTheEarlierLifeIsAborted") {
+TEST_CASE("RestartedInstance_TransactionOfTheEarlierIncarnationIsAborted") {
   ProxyFixture it;
   announceFirstIncarnations(it);
   const auto client = it.connect("current");
@@ -69,7 +69,7 @@
   CHECK(!it.carrierOf("WRITE x 2"));
 }
 
-TEST_CASE("RestartedInstance_CommitUnderWayIsTold") {
+TEST_CASE("RestartedInstance_UnansweredCommitHasUnknownOutcome") {
   ProxyFixture it;
   announceFirstIncarnations(it);
   const auto client = it.connect("current");
@@ -80,7 +80,7 @@
   CHECK(it.lastAnswer(client).Code == ReplyCode::OutcomeUnknown);
 }
 
-TEST_CASE("RestartedInstance_EmptyPrimaryIsNotBelievedByItsOwnWord") {
+TEST_CASE("RestartedInstance_EmptyPrimaryIsNotAcceptedByItsOwnReport") {
   ProxyFixture it;
   announceFirstIncarnations(it);
   it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
@@ -95,7 +95,7 @@
   CHECK(it.Core.primarySights(it.Now)[0].Primary == InstanceId("r1"));
 }
 
-TEST_CASE("RestartedInstance_PromotionOfTheEarlierLifeNamesNobody") {
+TEST_CASE("RestartedInstance_PromotionOfTheEarlierIncarnationIsVoid") {
   ProxyFixture it;
   announceFirstIncarnations(it);
   it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstStartMs, 7});
@@ -105,7 +105,7 @@
   CHECK((observations.empty() || observations[0].Primary != InstanceId("r1")));
 }
 
-TEST_CASE("RestartedInstance_LateWordOfAnotherVmChangesNothing") {
+TEST_CASE("RestartedInstance_LateReportOfAnotherVmChangesNothing") {
   ProxyFixture it;
   announceFirstIncarnations(it);
   it.Core.applyInstance(it.Now, recordOf("r1", false, SecondStartMs, 4));
@@ -121,7 +121,7 @@
   CHECK(it.Core.primarySights(it.Now)[0].Primary == InstanceId("p"));
 }
 
-TEST_CASE("RestartedInstance_NewLifeIsNotTakenForSilent") {
+TEST_CASE("RestartedInstance_NewIncarnationDoesNotCountAsSilent") {
   ProxyFixture it;
   announceFirstIncarnations(it);
   for (const char *id : {"r1", "r2"})
--- a/src/proxy/tests/ScheduledClients.cpp
+++ b/src/proxy/tests/ScheduledClients.cpp
@@ -163,7 +163,7 @@
     const StatementReply reply = answers.front();
     answers.pop_front();
     if (!client.IsAwaiting) {
-      Fault = "an answer to nothing";
+      Fault = "an answer without a statement";
       return;
     }
     handleReply(client, reply);
@@ -210,9 +210,9 @@
       ++runs[it];
   for (const auto &[write, n] : runs) {
     if (n > 1)
-      Fault = "a write was kept twice: " + write;
+      Fault = "a write was committed twice: " + write;
     if (ReportedUndone.contains(write))
-      Fault = "a refused write was kept: " + write;
+      Fault = "a write reported as undone was committed: " + write;
   }
 }
 
--- a/src/proxy/tests/SilentConnectionTest.cpp
+++ b/src/proxy/tests/SilentConnectionTest.cpp
@@ -68,7 +68,7 @@
   CHECK(it.lastAnswer(client).Code == ReplyCode::Success);
 }
 
-TEST_CASE("SilentConnection_WriteIsInDoubtAndNotRepeated") {
+TEST_CASE("SilentConnection_WriteHasUnknownOutcomeAndIsNotRepeated") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
@@ -81,7 +81,7 @@
       CHECK((id == silent || command.Text != "WRITE x 1"));
 }
 
-TEST_CASE("SilentConnection_IsReplacedSoonAfterItsStatementIsGivenUp") {
+TEST_CASE("SilentConnection_IsReplacedSoonAfterItsStatementIsAbandoned") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
@@ -92,7 +92,7 @@
   CHECK(!it.Io.Opened.contains(silent));
 }
 
-TEST_CASE("SilentConnection_QuestionsForThePositionFindIt") {
+TEST_CASE("SilentConnection_PositionProbesDetectIt") {
   Fixture it;
   it.warmUp();
   // Two connections become idle; the probes must reach both of them.
@@ -120,7 +120,7 @@
   CHECK(asked.contains(*b));
 }
 
-TEST_CASE("SilentConnection_TransactionOnItIsAbortedInTimeForAnotherTry") {
+TEST_CASE("SilentConnection_TransactionOnItIsAbortedInTimeForARetry") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
@@ -132,7 +132,7 @@
   CHECK(!it.Io.Opened.contains(silent));
 }
 
-TEST_CASE("SilentConnection_TransactionOfACutPrimaryIsAbortedInTime") {
+TEST_CASE("SilentConnection_TransactionOfAnUnreachablePrimaryIsAbortedInTime") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
@@ -145,7 +145,7 @@
   CHECK(it.lastAnswer(client).State == SessionState::Failed);
 }
 
-TEST_CASE("SilentConnection_CommitOnItIsNotGivenUpEarly") {
+TEST_CASE("SilentConnection_CommitOnItIsNotAbandonedEarly") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
--- a/src/proxy/tests/UnevenInstancesTest.cpp
+++ b/src/proxy/tests/UnevenInstancesTest.cpp
@@ -88,7 +88,7 @@
   }
 }
 
-TEST_CASE("UnevenInstances_PositionDecidesBeforeWhoStandsOut") {
+TEST_CASE("UnevenInstances_PositionTakesPrecedenceOverOutliers") {
   const TimePoint now(std::chrono::seconds(10));
   const Mark needed{{3}, {100}};
   InstanceTracker tracker{HallId("a")};
@@ -118,7 +118,7 @@
   CHECK(tracker.readCandidates(now, needed, {}, notDrawn) == std::vector{slow});
 }
 
-TEST_CASE("UnevenInstances_PrimaryKeepsWhatOnlyItCanRun") {
+TEST_CASE("UnevenInstances_OutlierStaysThePrimary") {
   const TimePoint now(std::chrono::seconds(10));
   InstanceTracker tracker{HallId("a")};
   const InstanceId primary("p");
@@ -135,7 +135,7 @@
   CHECK(tracker.primary(now) == primary);
 }
 
-TEST_CASE("UnevenInstances_AnInstanceAloneKeepsAllReads") {
+TEST_CASE("UnevenInstances_SingleInstanceKeepsAllReads") {
   const TimePoint now(std::chrono::seconds(10));
   InstanceTracker tracker{HallId("a")};
   membership::InstanceRecord record;
@@ -147,7 +147,7 @@
   CHECK(tracker.readCandidates(now, {}, {}, last) == std::vector{record.Id});
 }
 
-TEST_CASE("UnevenInstances_SlowReplicaIsLeftToItsSiblings") {
+TEST_CASE("UnevenInstances_ReadsOfASlowReplicaGoToItsSiblings") {
   for (const std::uint64_t seed : {1, 2, 3}) {
     UnevenGroup group(seed, 4);
     group.runFor(WarmUpTime, ReadRate);
@@ -193,7 +193,7 @@
   }
 }
 
-TEST_CASE("UnevenInstances_FailingReplicaIsLeftToItsSiblings") {
+TEST_CASE("UnevenInstances_ReadsOfAFailingReplicaGoToItsSiblings") {
   for (const bool isFast : {false, true})
     for (const std::uint64_t seed : {1, 2, 3}) {
       UnevenGroup group(seed, 4);
@@ -206,14 +206,14 @@
       const double tries = secondTryShare(group, tally);
       const int there = group.instance("r1").Reads;
       group.runFor(DrainTime, 0);
-      INFO("seed ", seed, " quick ", isFast, " good ", tally.goodShare(),
+      INFO("seed ", seed, " fast ", isFast, " good ", tally.goodShare(),
            " twice ", tries, " there ", there, " of ", tally.Asked);
       CHECK(tally.goodShare() >= MinGoodShare);
       CHECK(tries <= MaxSecondTryShare);
     }
 }
 
-TEST_CASE("UnevenInstances_QuickLiarDrawsNoReads") {
+TEST_CASE("UnevenInstances_FastFailingReplicaAttractsNoReads") {
   for (const std::uint64_t seed :
        {4, 101, 102, 103, 104, 105, 106, 107, 108, 109, 110}) {
     UnevenGroup group(seed, 4);
@@ -233,7 +233,7 @@
   }
 }
 
-TEST_CASE("UnevenInstances_FlappingReplicaIsLeftToItsSiblings") {
+TEST_CASE("UnevenInstances_ReadsOfAFlappingReplicaGoToItsSiblings") {
   for (const std::uint64_t seed : {1, 2, 3}) {
     UnevenGroup group(seed, 4);
     group.runFor(WarmUpTime, ReadRate);
@@ -266,7 +266,7 @@
   }
 }
 
-TEST_CASE("UnevenInstances_OnlyTheVmWithTheBadLinkTurnsAway") {
+TEST_CASE("UnevenInstances_OnlyTheVmWithTheSlowLinkAvoidsTheInstance") {
   UnevenGroup group(5, 4);
   group.runFor(WarmUpTime, ReadRate);
   group.setLinkDelay(0, "r1", milliseconds(60));
@@ -282,7 +282,7 @@
   CHECK(tally.goodShare() >= MinGoodShare);
 }
 
-TEST_CASE("UnevenInstances_GroupThatIsSlowAsAWholeKeepsAll") {
+TEST_CASE("UnevenInstances_UniformlySlowGroupHasNoOutliers") {
   UnevenGroup group(6, 4);
   group.runFor(WarmUpTime, ReadRate);
   for (const char *name : {"p", "r1", "r2"})
@@ -296,7 +296,7 @@
   }
 }
 
-TEST_CASE("UnevenInstances_ManyVmsDontTurnToOneSiblingAtOnce") {
+TEST_CASE("UnevenInstances_ManyVmsDontOverloadOneSibling") {
   UnevenGroup group(7, 70);
   group.runFor(WarmUpTime, ReadRate);
   group.instance("r1").Slowness = 6;
@@ -314,7 +314,7 @@
 
 // Guards against VMs with few reads that drop a replica's failures between two
 // reads and send it reads again.
-TEST_CASE("UnevenInstances_ManyVmsKeepAwayWhileAReplicaFails") {
+TEST_CASE("UnevenInstances_ManyVmsAvoidAReplicaWhileItFails") {
   for (const std::uint64_t seed : {21, 22, 23}) {
     UnevenGroup group(seed, 70);
     group.runFor(WarmUpTime, ReadRate);
@@ -339,7 +339,7 @@
   }
 }
 
-TEST_CASE("UnevenInstances_ManyVmsEachFindOutAFailingReplica") {
+TEST_CASE("UnevenInstances_ManyVmsEachDetectAFailingReplica") {
   // Four reads a second by each VM, so one or two at each instance.
   for (const std::uint64_t seed : {21, 22, 23}) {
     UnevenGroup group(seed, 70);
