--- a/src/proxy/internal/ConnectionPool.cpp
+++ b/src/proxy/internal/ConnectionPool.cpp
@@ -23,10 +23,10 @@
 }
 
 template <typename Predicate, typename SecondKey>
-InstanceConnection *ConnectionPool::findFirstFree(const InstanceId &instance,
-                                                  Predicate isAllowed,
-                                                  SecondKey secondKey) {
-  // NOTE: a borrowed one is the second choice: it costs another VM's time.
+InstanceConnection *ConnectionPool::findBestFree(const InstanceId &instance,
+                                                 Predicate isAllowed,
+                                                 SecondKey secondKey) {
+  // NOTE: a borrowed connection comes second, since it costs the lender time.
   const auto key = [&](const InstanceConnection &it) {
     return std::pair(it.isBorrowed(), secondKey(it));
   };
@@ -46,20 +46,20 @@
   const auto isAllowed = [&](const InstanceConnection &it) {
     return it.Organisation == organisation && (usesDirect || it.isBorrowed());
   };
-  // NOTE: the lender of a borrowed one sets it up, whatever its values are.
-  return findFirstFree(instance, isAllowed, [&](const auto &it) {
+  // NOTE: the lender sets the session values of a borrowed connection.
+  return findBestFree(instance, isAllowed, [&](const auto &it) {
     return !it.isBorrowed() && it.Values != values;
   });
 }
 
-InstanceConnection *ConnectionPool::findForQuestion(
-    const InstanceId &instance, bool usesDirect,
-    const std::optional<OrganisationId> &borrowedFor) {
+InstanceConnection *
+ConnectionPool::findForProbe(const InstanceId &instance, bool usesDirect,
+                             const std::optional<OrganisationId> &borrowedFor) {
   const auto isAllowed = [&](const InstanceConnection &it) {
     return it.isBorrowed() ? it.Organisation == borrowedFor : usesDirect;
   };
-  return findFirstFree(instance, isAllowed,
-                       [](const auto &it) { return it.LastUsed; });
+  return findBestFree(instance, isAllowed,
+                      [](const auto &it) { return it.LastUsed; });
 }
 
 InstanceConnection *ConnectionPool::findFreeDirect(
@@ -80,18 +80,18 @@
     Rates[connection.Instance].note(now, *connection.Organisation);
 }
 
-bool ConnectionPool::makeRoom(
+bool ConnectionPool::evictFree(
     TimePoint now, const InstanceId &instance, bool isBorrowed,
     const std::optional<OrganisationId> &organisation) {
   const auto &ids = idsAt(instance);
   if (ids.empty())
     return false;
-  // NOTE: the connection that has served nobody for longest would often be that
-  // of an organisation which is back in a moment: where few organisations ask
-  // for much, 59 openings for 100 uses then, and 46 by the rate of use
-  // (ConnectionPool_FewOpeningsWhereFewAskForMuch).
+  // NOTE: the connection idle longest often belongs to an organisation that
+  // needs it again soon. Where few organisations cause most of the load,
+  // closing it costs 59 openings for 100 uses, and closing by the rate of use
+  // 46 (ConnectionPool_SkewedLoadOpensFewConnections).
   const auto &rates = Rates[instance];
-  const auto worth = [&](const InstanceConnection &it) {
+  const auto rank = [&](const InstanceConnection &it) {
     const double rate = it.Organisation ? rates.of(now, *it.Organisation) : 0;
     return std::pair(rate, it.LastServed);
   };
@@ -100,7 +100,7 @@
     const auto &it = Connections.at(id);
     const bool isOther =
         it.isBorrowed() == isBorrowed && it.Organisation != organisation;
-    if (it.isFree() && isOther && (!least || worth(it) < worth(*least)))
+    if (it.isFree() && isOther && (!least || rank(it) < rank(*least)))
       least = &it;
   }
   if (!least)
@@ -116,10 +116,11 @@
   const bool isBorrowed = !lenderIp.empty();
   const int own = ownAt(instance.Id);
   const int open = isBorrowed ? countOf(instance.Id) - own : own;
-  // NOTE: one that takes the place of another needs no room at the instance.
-  const bool hasRoom =
+  // NOTE: a connection that replaces another needs no further capacity at the
+  // instance.
+  const bool canOpen =
       (isBorrowed || !isFull(now, instance.Id)) && open < share.Limit;
-  if (!hasRoom && !makeRoom(now, instance.Id, isBorrowed, organisation))
+  if (!canOpen && !evictFree(now, instance.Id, isBorrowed, organisation))
     return false;
   const ConnectionId id{++LastId};
   auto &it = Connections[id];
@@ -171,7 +172,7 @@
 }
 
 void ConnectionPool::refuseUntil(const InstanceId &instance, TimePoint until) {
-  RefusedUntil[instance] = until;
+  OpeningPausedUntil[instance] = until;
 }
 
 template <typename Predicate>
@@ -224,8 +225,8 @@
 
 Duration ConnectionPool::pauseLeft(TimePoint now,
                                    const InstanceId &instance) const {
-  const auto refused = RefusedUntil.find(instance);
-  return refused == RefusedUntil.end()
+  const auto refused = OpeningPausedUntil.find(instance);
+  return refused == OpeningPausedUntil.end()
              ? Duration{}
              : std::max(Duration{}, refused->second - now);
 }
--- a/src/proxy/internal/InstanceTracker.cpp
+++ b/src/proxy/internal/InstanceTracker.cpp
@@ -20,43 +20,44 @@
 /// Weight of a new sample in the smoothed answer time.
 constexpr double SampleWeight = 0.1;
 /// Added to the cost of an instance in another hall, in ms: two hops of about
-/// 1.5 ms, and the price of the bytes, which keeps light load in its hall.
+/// 1.5 ms, and the price of the bytes between halls, which keeps light load in
+/// its hall.
 constexpr double OtherHallCost = 12.0;
-/// Added where an instance may not have the position yet, in ms: an answer
-/// that says so costs a round trip and a second choice.
-constexpr double BehindCost = 40.0;
-/// Added for the primary, in ms, so that its slots are left to writes: with
-/// room there, less than another hall costs, so that reads of its hall stay.
+/// Added where an instance may not have the position yet, in ms: a refusal for
+/// this costs a round trip and a second choice.
+constexpr double LaggingCost = 40.0;
+/// Added for the primary, in ms, so that its slots are left to writes. While it
+/// has capacity this is less than OtherHallCost, so that reads stay in its
+/// hall.
 constexpr double PrimaryCost = 5.0;
-/// The same where it takes longer than usual to answer.
+/// The same where the primary takes longer than usual to answer.
 constexpr double BusyPrimaryCost = 25.0;
-/// It does so from this many times its usual time on.
-constexpr double BusyFrom = 1.2;
-/// A read that has waited for this part of the answer time of an instance that
-/// is held back may go there: while the siblings have room, few wait so long.
+/// Multiple of its usual answer time from which the primary counts as busy.
+constexpr double BusyPrimaryFactor = 1.2;
+/// A read that has waited for an outlier's service time divided by this may go
+/// to the outlier: while the siblings have capacity, few reads wait so long.
 constexpr int OverflowDivisor = 4;
-/// An estimated lag counts half after this time without news, so that an
-/// instance that has caught up is found out.
+/// Half-life of an estimated lag without a new report, so that an instance that
+/// has caught up is detected.
 constexpr Duration LagHalfLife = milliseconds(1000);
 /// Weight of a new sample in the smoothed lag.
 constexpr double LagWeight = 0.3;
-/// An instance that refused a read for its position isn't asked for such a one
-/// again for this long: half of the usual lag of a replica.
-constexpr Duration FirstLagBackoff = milliseconds(25);
-/// Without it each read of a service whose replicas all lag is refused twice
-/// first, which took 0.002 of the worth in bytes (simulated days, mean of ten).
-/// The pause doubles up to this one, which bounds how late it is found out that
-/// an instance has caught up.
-constexpr Duration LongestLagBackoff = milliseconds(400);
+/// After an instance refused a read for its position, no such read is sent to
+/// it for this long: half of the usual lag of a replica.
+constexpr Duration MinLagBackoff = milliseconds(25);
+/// The backoff doubles up to this limit, which bounds how late an instance that
+/// has caught up is detected. Without the backoff each read of a service whose
+/// replicas all lag is refused twice first, which costs traffic.
+constexpr Duration MaxLagBackoff = milliseconds(400);
 /// A leaving primary that has no successor yet is used for this long: the
-/// platform lets instances that leave take work for 7 s at least, less the
-/// time that the word of it travels.
-constexpr Duration LeavingUse = milliseconds(5500);
-/// How long an instance that failed isn't chosen while others are there.
-constexpr Duration AvoidTime = milliseconds(1000);
-/// How long an instance that refused a write isn't asked for one, if another
-/// could be the primary.
-constexpr Duration DeniedLeadTime = milliseconds(300);
+/// platform lets leaving instances take work for at least 7 s, less the time
+/// until the report of leaving arrives.
+constexpr Duration LeavingUseTime = milliseconds(5500);
+/// How long an instance that failed isn't chosen while others are available.
+constexpr Duration AvoidPause = milliseconds(1000);
+/// How long no write is sent to an instance that refused one, if another could
+/// be the primary.
+constexpr Duration NotPrimaryPause = milliseconds(300);
 /// Proofs are kept this long; the longest staleness of a route is below it.
 constexpr Duration ProofLifetime = milliseconds(20000);
 /// Two proofs closer than this are kept as one.
@@ -66,7 +67,8 @@
 
 bool InstanceTracker::mayStartAt(TimePoint now,
                                  const TrackedInstance &instance) {
-  return !instance.LeavingSince || now - *instance.LeavingSince < LeavingUse;
+  return !instance.LeavingSince ||
+         now - *instance.LeavingSince < LeavingUseTime;
 }
 
 bool InstanceTracker::update(TimePoint now,
@@ -74,12 +76,12 @@
   const auto [found, isNew] = Instances.try_emplace(record.Id);
   auto &it = found->second;
   const auto next = isNew ? record : membership::merged(it.Record, record);
-  const bool isLaterLife = !isNew && next.BornMs > it.Record.BornMs;
-  if (isLaterLife) {
+  const bool isLaterIncarnation = !isNew && next.BornMs > it.Record.BornMs;
+  if (isLaterIncarnation) {
     it = {};
     Outliers.remove(record.Id);
-    if (ProvenLead == record.Id)
-      ProvenLead.reset();
+    if (ProvenPrimary == record.Id)
+      ProvenPrimary.reset();
   }
   it.Record = next;
   if (next.State != InstanceState::Ready && !it.LeavingSince)
@@ -90,7 +92,7 @@
     Outliers.remove(record.Id);
   if (next.State == InstanceState::Gone)
     Instances.erase(found);
-  return isLaterLife;
+  return isLaterIncarnation;
 }
 
 void InstanceTracker::remove(const InstanceId &id) {
@@ -102,9 +104,9 @@
   if (promotion.Fence <= Promoted.Fence)
     return;
   Promoted = promotion;
-  ProvenLead.reset();
+  ProvenPrimary.reset();
   if (auto *it = find(promotion.Instance))
-    it->DeniedLeadUntil = {};
+    it->NotPrimaryUntil = {};
 }
 
 TrackedInstance *InstanceTracker::find(const InstanceId &id) {
@@ -112,7 +114,8 @@
   return it == Instances.end() ? nullptr : &it->second;
 }
 
-bool InstanceTracker::mayLead(const membership::InstanceRecord &record) const {
+bool InstanceTracker::canBePrimary(
+    const membership::InstanceRecord &record) const {
   if (!record.HasRestarted || isPromoted(record))
     return true;
   return std::none_of(
@@ -123,18 +126,18 @@
 }
 
 std::optional<InstanceId> InstanceTracker::primary(TimePoint now) const {
-  if (ProvenLead) {
-    const auto it = Instances.find(*ProvenLead);
-    if (it != Instances.end() && it->second.DeniedLeadUntil <= now)
-      return ProvenLead;
+  if (ProvenPrimary) {
+    const auto it = Instances.find(*ProvenPrimary);
+    if (it != Instances.end() && it->second.NotPrimaryUntil <= now)
+      return ProvenPrimary;
   }
   const TrackedInstance *best = nullptr;
   for (const auto &[id, it] : Instances) {
-    if (it.DeniedLeadUntil > now)
+    if (it.NotPrimaryUntil > now)
       continue;
     if (isPromoted(it.Record))
       return id;
-    if (it.Record.Role != InstanceRole::Primary || !mayLead(it.Record))
+    if (it.Record.Role != InstanceRole::Primary || !canBePrimary(it.Record))
       continue;
     if (!best || it.Position > best->Position)
       best = &it;
@@ -147,16 +150,16 @@
   return std::nullopt;
 }
 
-bool InstanceTracker::isLeadDenied(TimePoint now) const {
-  return !ProvenLead &&
+bool InstanceTracker::isPrimaryDenied(TimePoint now) const {
+  return !ProvenPrimary &&
          std::any_of(Instances.begin(), Instances.end(), [&](const auto &it) {
-           return it.second.DeniedLeadUntil > now;
+           return it.second.NotPrimaryUntil > now;
          });
 }
 
 Duration InstanceTracker::lagOf(TimePoint now, const Mark &position) const {
-  // The log ended at or before the position when `reached` was sent, and
-  // behind it when `beyond` was: the truth lies between the two.
+  // The primary's log ended after the position in the proof `beyond`, and at or
+  // before it in the proof before that: the lag lies between their ages.
   const auto beyond =
       std::upper_bound(Proofs.begin(), Proofs.end(), position,
                        [](const Mark &mark, const PositionProof &it) {
@@ -173,7 +176,8 @@
 bool InstanceTracker::isExpectedAt(TimePoint now,
                                    const TrackedInstance &instance,
                                    const Mark &minimum) const {
-  // NOTE: one that was never asked tells by its first answer where it is.
+  // NOTE: an instance that was never asked reports its position in its first
+  // answer.
   if (!instance.Position || *instance.Position >= minimum)
     return true;
   const auto age = static_cast<double>((now - instance.PositionAt).count());
@@ -187,9 +191,9 @@
   return proof != Proofs.rend() && proof->Position >= minimum;
 }
 
-bool InstanceTracker::isKnownBehind(TimePoint now,
-                                    const TrackedInstance &instance,
-                                    const Mark &minimum) {
+bool InstanceTracker::isKnownLagging(TimePoint now,
+                                     const TrackedInstance &instance,
+                                     const Mark &minimum) {
   return instance.RefusedPosition && minimum >= *instance.RefusedPosition &&
          instance.LagBackoffUntil > now;
 }
@@ -198,18 +202,19 @@
                                  const Mark &minimum) const {
   const int slots = std::max(1, instance.Record.Slots);
   const double rounds = 1.0 + static_cast<double>(instance.Statements) / slots;
-  double cost = toMilliseconds(presumedTime(instance)) * rounds;
+  double cost = toMilliseconds(assumedServiceTime(instance)) * rounds;
   if (instance.Record.Hall != OwnHall)
     cost += OtherHallCost;
   if (!isExpectedAt(now, instance, minimum))
-    cost += BehindCost;
+    cost += LaggingCost;
   if (primary(now) == instance.Record.Id)
-    cost += instance.Running.congestion() < BusyFrom ? PrimaryCost
-                                                     : BusyPrimaryCost;
+    cost += instance.Running.congestion() < BusyPrimaryFactor ? PrimaryCost
+                                                              : BusyPrimaryCost;
   return cost;
 }
 
-Duration InstanceTracker::presumedTime(const TrackedInstance &instance) const {
+Duration
+InstanceTracker::assumedServiceTime(const TrackedInstance &instance) const {
   Duration time = instance.ServiceTime;
   if (Outliers.weight(instance.Record.Id) < 1.0)
     for (const auto &[id, it] : Instances)
@@ -217,21 +222,23 @@
   return time;
 }
 
-void InstanceTracker::passOver(TimePoint now, const Mark &minimum,
-                               const ReadDraw &draw,
-                               std::vector<InstanceId> &ids) const {
-  const auto isGiven = [&](const InstanceId &id) {
+void InstanceTracker::demoteOutliers(TimePoint now, const Mark &minimum,
+                                     const ReadDraw &draw,
+                                     std::vector<InstanceId> &ids) const {
+  const auto isAssigned = [&](const InstanceId &id) {
     return draw.Chance < Outliers.weight(id);
   };
-  // NOTE: nobody is passed over for one that lacks the position.
+  // NOTE: no outlier is left out in favour of an instance that lacks the
+  // position.
   const bool hasSibling = std::any_of(ids.begin(), ids.end(), [&](auto &id) {
-    return isGiven(id) && isExpectedAt(now, Instances.at(id), minimum);
+    return isAssigned(id) && isExpectedAt(now, Instances.at(id), minimum);
   });
   if (!hasSibling)
     return;
-  const auto passed = std::stable_partition(ids.begin(), ids.end(), isGiven);
-  // NOTE: the siblings have no room for a read that has waited.
-  ids.erase(std::remove_if(passed, ids.end(),
+  const auto demoted =
+      std::stable_partition(ids.begin(), ids.end(), isAssigned);
+  // NOTE: the siblings have no capacity for a read that has waited.
+  ids.erase(std::remove_if(demoted, ids.end(),
                            [&](const InstanceId &id) {
                              return draw.Waited < Instances.at(id).ServiceTime /
                                                       OverflowDivisor;
@@ -244,13 +251,13 @@
                                 const std::set<InstanceId> &tried,
                                 const ReadDraw &draw) const {
   std::vector<std::pair<double, InstanceId>> ranked;
-  // NOTE: one that failed lately is still better than none.
-  for (const bool avoided : {false, true}) {
+  // NOTE: an instance that failed recently is still better than none.
+  for (const bool isAvoided : {false, true}) {
     for (const auto &[id, it] : Instances) {
-      const bool leaving = it.Record.State != InstanceState::Ready;
-      if (tried.contains(id) || leaving || (it.AvoidUntil > now) != avoided)
+      const bool isLeaving = it.Record.State != InstanceState::Ready;
+      if (tried.contains(id) || isLeaving || (it.AvoidUntil > now) != isAvoided)
         continue;
-      if (isKnownBehind(now, it, minimum))
+      if (isKnownLagging(now, it, minimum))
         continue;
       ranked.emplace_back(readCost(now, it, minimum), id);
     }
@@ -262,7 +269,7 @@
   ids.reserve(ranked.size());
   for (auto &it : ranked)
     ids.push_back(std::move(it.second));
-  passOver(now, minimum, draw, ids);
+  demoteOutliers(now, minimum, draw, ids);
   return ids;
 }
 
@@ -286,9 +293,9 @@
 
 void InstanceTracker::noteProof(TimePoint sentAt, const InstanceId &id,
                                 const Mark &position) {
-  if (const auto *it = find(id); it && !mayLead(it->Record))
+  if (const auto *it = find(id); it && !canBePrimary(it->Record))
     return;
-  ProvenLead = id;
+  ProvenPrimary = id;
   // A newer term starts a new history: older proofs may name lost commits.
   if (!Proofs.empty() && Proofs.back().Position.WrittenIn < position.WrittenIn)
     Proofs.clear();
@@ -338,7 +345,7 @@
   auto *it = find(id);
   if (!it)
     return;
-  it->AvoidUntil = now + AvoidTime;
+  it->AvoidUntil = now + AvoidPause;
   if (!it->SilentSince)
     it->SilentSince = now;
 }
@@ -353,10 +360,10 @@
 }
 
 void InstanceTracker::noteDeniedLead(TimePoint now, const InstanceId &id) {
-  if (ProvenLead == id)
-    ProvenLead.reset();
+  if (ProvenPrimary == id)
+    ProvenPrimary.reset();
   if (auto *it = find(id))
-    it->DeniedLeadUntil = now + DeniedLeadTime;
+    it->NotPrimaryUntil = now + NotPrimaryPause;
 }
 
 void InstanceTracker::noteBehind(TimePoint now, const InstanceId &id,
@@ -366,8 +373,7 @@
     return;
   it->RefusedPosition =
       it->RefusedPosition ? std::min(*it->RefusedPosition, minimum) : minimum;
-  it->LagBackoff =
-      std::clamp(2 * it->LagBackoff, FirstLagBackoff, LongestLagBackoff);
+  it->LagBackoff = std::clamp(2 * it->LagBackoff, MinLagBackoff, MaxLagBackoff);
   it->LagBackoffUntil = now + it->LagBackoff;
 }
 
--- a/src/proxy/tests/ConnectionPoolTest.cpp
+++ b/src/proxy/tests/ConnectionPoolTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which connection a home closes for the next organisation, and how
-/// many are opened under a load of organisations of unequal size.
+/// \file Which connection a home closes when another organisation needs one,
+/// and how many it opens under a load of organisations of unequal size.
 
 #include "proxy/internal/ConnectionPool.h"
 #include "proxy/tests/FakeIo.h"
@@ -29,7 +29,7 @@
     Instance.Service = "db";
   }
 
-  /// A use of \p organisation; true if a connection had to be opened for it.
+  /// Uses a connection for \p organisation; true if one had to be opened.
   bool use(const OrganisationId &organisation) {
     auto *it = Pool.findFree(Instance.Id, organisation, {}, true);
     const bool isMissing = !it;
@@ -60,41 +60,42 @@
   return OrganisationId("o" + std::to_string(number));
 }
 
-/// Openings for 100 uses, eight a second, of 20 organisations the n-th of which
-/// asks for 1/n of what the first does.
-double openingsForHundred(unsigned seed) {
+/// Connections opened for 100 uses, eight a second, by 20 organisations the
+/// n-th of which has 1/n of the load of the first.
+double openingsPerHundred(unsigned seed) {
   constexpr int Uses = 10000;
   std::vector<double> shares;
   for (int i = 1; i <= 20; ++i)
     shares.push_back(1.0 / i);
   std::mt19937 random(seed);
-  std::discrete_distribution<std::size_t> whose(shares.begin(), shares.end());
+  std::discrete_distribution<std::size_t> pickNumber(shares.begin(),
+                                                     shares.end());
   Home home;
   int openings = 0;
   for (int i = 0; i < Uses; ++i) {
     home.Now += milliseconds(125);
-    openings += home.use(organisation(whose(random)));
+    openings += home.use(organisation(pickNumber(random)));
   }
   return 100.0 * openings / Uses;
 }
 
 } // namespace
 
-TEST_CASE("ConnectionPool_FewOpeningsWhereFewAskForMuch") {
-  // 59 to 60 where the one that has rested longest makes room, 45 to 47 by the
-  // rate of use.
+TEST_CASE("ConnectionPool_SkewedLoadOpensFewConnections") {
+  // 59 to 60 if the connection idle longest is closed, 45 to 47 by the rate of
+  // use.
   for (const unsigned seed : {1U, 2U, 3U}) {
     CAPTURE(seed);
-    CHECK(openingsForHundred(seed) < 52);
+    CHECK(openingsPerHundred(seed) < 52);
   }
 }
 
-TEST_CASE("ConnectionPool_RareUseMakesRoomNotTheFrequentOne") {
+TEST_CASE("ConnectionPool_RarelyUsedConnectionIsEvicted") {
   Home home;
   for (int i = 0; i < 10; ++i)
     for (std::size_t n = 0; n < HomeConnections; ++n)
       home.use(organisation(n));
-  // One passes by once, and then another.
+  // Two further organisations use a connection once each.
   home.Now += milliseconds(200);
   CHECK(home.use(organisation(10)));
   home.Now += milliseconds(200);
@@ -106,14 +107,14 @@
   CHECK(kept == HomeConnections - 1);
 }
 
-TEST_CASE("ConnectionPool_WhatWasFrequentOnceMakesRoomInTheEnd") {
+TEST_CASE("ConnectionPool_FormerlyFrequentUsersAreEvictedEventually") {
   Home home;
-  // Four ask twice a second each for half a minute.
+  // Four organisations each use a connection twice a second for 30 s.
   for (int i = 0; i < 240; ++i) {
     home.Now += milliseconds(125);
     home.use(organisation(static_cast<std::size_t>(i % 4)));
   }
-  // They stop, and four others ask half as often for a quarter of a minute.
+  // They stop, and four others use connections half as often for 15 s.
   for (int i = 0; i < 60; ++i) {
     home.Now += milliseconds(250);
     home.use(organisation(10 + static_cast<std::size_t>(i % 4)));
@@ -123,7 +124,7 @@
     CHECK(home.holds(organisation(n)));
 }
 
-TEST_CASE("ConnectionPool_OneForQuestionsMakesRoomFirst") {
+TEST_CASE("ConnectionPool_ProbeConnectionIsEvictedFirst") {
   Home home;
   REQUIRE(home.Pool.openOne(home.Now, home.Instance,
                             {HomeConnections, HomeConnections}, "",
@@ -134,18 +135,18 @@
     CHECK(home.holds(organisation(n)));
 }
 
-TEST_CASE("ConnectionPool_HomeOfAFullInstanceServesWhoeverComes") {
+TEST_CASE("ConnectionPool_HomeOfAFullInstanceServesAnyOrganisation") {
   Home home;
   home.use(organisation(1));
   home.use(organisation(2));
-  // After a loss of power the instance has no room for some seconds.
+  // After a power loss the instance has no free connection for some seconds.
   home.Pool.refuseUntil(home.Instance.Id, home.Now + milliseconds(1000));
   CHECK(home.use(organisation(3)));
   CHECK(home.Pool.ownAt(home.Instance.Id) == 2);
   CHECK(home.holds(organisation(3)));
 }
 
-TEST_CASE("ConnectionPool_VmWithoutOneWaitsForRoomAtAFullInstance") {
+TEST_CASE("ConnectionPool_VmWithoutConnectionsOpensNoneAtAFullInstance") {
   Home home;
   home.Pool.refuseUntil(home.Instance.Id, home.Now + milliseconds(1000));
   CHECK_FALSE(home.Pool.openOne(home.Now, home.Instance,
@@ -154,7 +155,7 @@
   CHECK(home.Io.Opened.empty());
 }
 
-TEST_CASE("UseRates_WhoNoLongerAsksIsForgotten") {
+TEST_CASE("UseRates_InactiveOrganisationsAreRemoved") {
   UseRates rates;
   TimePoint now(std::chrono::seconds(1));
   for (std::size_t i = 0; i < 1000; ++i) {
--- a/src/proxy/tests/RestartedInstanceTest.cpp
+++ b/src/proxy/tests/RestartedInstanceTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Instances that start again under their id, as the proxy sees them.
+/// \file How the proxy handles instances that restart under the same id.
 
 #include "proxy/tests/ProxyFixture.h"
 
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr std::uint64_t FirstLife = 1'800'000'000'000;
-constexpr std::uint64_t SecondLife = FirstLife + 60'000;
+constexpr std::uint64_t FirstStartMs = 1'800'000'000'000;
+constexpr std::uint64_t SecondStartMs = FirstStartMs + 60'000;
 
 membership::InstanceRecord recordOf(const char *id, bool isPrimary,
-                                    std::uint64_t bornMs,
+                                    std::uint64_t startMs,
                                     std::uint64_t sequence) {
   membership::InstanceRecord record;
   record.Id = InstanceId(id);
@@ -25,16 +25,16 @@
   record.Role = isPrimary ? membership::InstanceRole::Primary
                           : membership::InstanceRole::Replica;
   record.Slots = 3;
-  record.BornMs = bornMs;
+  record.BornMs = startMs;
   record.Sequence = sequence;
   return record;
 }
 
-/// The proxy knows in which life its instances are.
-void tellLives(ProxyFixture &it) {
-  it.Core.applyInstance(it.Now, recordOf("p", true, FirstLife, 9));
-  it.Core.applyInstance(it.Now, recordOf("r1", false, FirstLife, 9));
-  it.Core.applyInstance(it.Now, recordOf("r2", false, FirstLife, 9));
+/// Reports the first incarnation of each instance to the proxy.
+void announceFirstIncarnations(ProxyFixture &it) {
+  it.Core.applyInstance(it.Now, recordOf("p", true, FirstStartMs, 9));
+  it.Core.applyInstance(it.Now, recordOf("r1", false, FirstStartMs, 9));
+  it.Core.applyInstance(it.Now, recordOf("r2", false, FirstStartMs, 9));
   it.warmUp();
 }
 
@@ -48,87 +48,87 @@
 
 } // namespace
 
-TEST_CASE("RestartedInstance_NoConnectionOfTheEarlierLifeIsUsedAgain") {
+TEST_CASE("RestartedInstance_NoConnectionOfTheEarlierIncarnationIsReused") {
   ProxyFixture it;
-  tellLives(it);
+  announceFirstIncarnations(it);
   const auto before = connectionsTo(it, "p");
   REQUIRE(!before.empty());
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
   for (const auto id : connectionsTo(it, "p"))
     CHECK(!before.contains(id));
 }
 
-TEST_CASE("RestartedInstance_TransactionOfTheEarlierLifeIsAborted") {
+TEST_CASE("RestartedInstance_TransactionOfTheEarlierIncarnationIsAborted") {
   ProxyFixture it;
-  tellLives(it);
+  announceFirstIncarnations(it);
   const auto client = it.connect("current");
   it.beginTransaction(client);
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
   it.ask(client, StatementKind::Write, "WRITE x 2");
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
   CHECK(!it.carrierOf("WRITE x 2"));
 }
 
-TEST_CASE("RestartedInstance_CommitUnderWayIsTold") {
+TEST_CASE("RestartedInstance_UnansweredCommitHasUnknownOutcome") {
   ProxyFixture it;
-  tellLives(it);
+  announceFirstIncarnations(it);
   const auto client = it.connect("current");
   it.beginTransaction(client);
   it.ask(client, StatementKind::Commit, "COMMIT");
   REQUIRE(it.carrierOf("COMMIT"));
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
   CHECK(it.lastAnswer(client).Code == ReplyCode::OutcomeUnknown);
 }
 
-TEST_CASE("RestartedInstance_EmptyPrimaryIsNotBelievedByItsOwnWord") {
+TEST_CASE("RestartedInstance_EmptyPrimaryIsNotAcceptedByItsOwnReport") {
   ProxyFixture it;
-  tellLives(it);
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
+  announceFirstIncarnations(it);
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
   CHECK(it.Core.primarySights(it.Now).empty());
-  // It runs the start of a plain transaction as well, which proves a lead
-  // otherwise; its log has nothing of what was acknowledged.
+  // It also begins a read-write transaction, which otherwise proves that it is
+  // the primary; its log has none of the acknowledged commits.
   it.advance(milliseconds(150));
   it.answerOwn(markOf(1, 0));
   CHECK(it.Core.primarySights(it.Now).empty());
-  it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstLife, 7});
+  it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstStartMs, 7});
   REQUIRE(it.Core.primarySights(it.Now).size() == 1);
   CHECK(it.Core.primarySights(it.Now)[0].Primary == InstanceId("r1"));
 }
 
-TEST_CASE("RestartedInstance_PromotionOfTheEarlierLifeNamesNobody") {
+TEST_CASE("RestartedInstance_PromotionOfTheEarlierIncarnationIsVoid") {
   ProxyFixture it;
-  tellLives(it);
-  it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstLife, 7});
+  announceFirstIncarnations(it);
+  it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstStartMs, 7});
   REQUIRE(it.Core.primarySights(it.Now)[0].Primary == InstanceId("r1"));
-  it.Core.applyInstance(it.Now, recordOf("r1", false, SecondLife, 1));
-  const auto sights = it.Core.primarySights(it.Now);
-  CHECK((sights.empty() || sights[0].Primary != InstanceId("r1")));
+  it.Core.applyInstance(it.Now, recordOf("r1", false, SecondStartMs, 1));
+  const auto observations = it.Core.primarySights(it.Now);
+  CHECK((observations.empty() || observations[0].Primary != InstanceId("r1")));
 }
 
-TEST_CASE("RestartedInstance_LateWordOfAnotherVmChangesNothing") {
+TEST_CASE("RestartedInstance_LateReportOfAnotherVmChangesNothing") {
   ProxyFixture it;
-  tellLives(it);
-  it.Core.applyInstance(it.Now, recordOf("r1", false, SecondLife, 4));
-  auto late = recordOf("r1", false, FirstLife, 30);
+  announceFirstIncarnations(it);
+  it.Core.applyInstance(it.Now, recordOf("r1", false, SecondStartMs, 4));
+  auto late = recordOf("r1", false, FirstStartMs, 30);
   late.State = membership::InstanceState::Gone;
   const auto before = connectionsTo(it, "r1");
   it.Core.applyInstance(it.Now, late);
   CHECK(connectionsTo(it, "r1") == before);
-  // An older word of the same life neither.
-  auto old = recordOf("p", false, FirstLife, 3);
+  // Nor does an older record of the same incarnation.
+  auto old = recordOf("p", false, FirstStartMs, 3);
   it.Core.applyInstance(it.Now, old);
   REQUIRE(it.Core.primarySights(it.Now).size() == 1);
   CHECK(it.Core.primarySights(it.Now)[0].Primary == InstanceId("p"));
 }
 
-TEST_CASE("RestartedInstance_NewLifeIsNotTakenForSilent") {
+TEST_CASE("RestartedInstance_NewIncarnationDoesNotCountAsSilent") {
   ProxyFixture it;
-  tellLives(it);
+  announceFirstIncarnations(it);
   for (const char *id : {"r1", "r2"})
-    it.Core.applyInstance(it.Now, recordOf(id, false, SecondLife, 1));
-  it.Core.applyInstance(it.Now, recordOf("p", true, SecondLife, 1));
-  const auto sights = it.Core.primarySights(it.Now);
-  REQUIRE(sights.size() == 1);
-  CHECK(sights[0].BornMs == SecondLife);
-  CHECK(sights[0].SilentFor == Duration{});
+    it.Core.applyInstance(it.Now, recordOf(id, false, SecondStartMs, 1));
+  it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
+  const auto observations = it.Core.primarySights(it.Now);
+  REQUIRE(observations.size() == 1);
+  CHECK(observations[0].BornMs == SecondStartMs);
+  CHECK(observations[0].SilentFor == Duration{});
 }
--- a/src/proxy/tests/ScheduledClients.h
+++ b/src/proxy/tests/ScheduledClients.h
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Clients of a seeded schedule: each asks, waits for the answer and asks
-/// again; what it is told is held against what the instances ran.
+/// \file Clients of a seeded schedule: each sends a statement, waits for the
+/// answer and sends the next; the answers are checked against what the
+/// instances ran.
 
 #ifndef STEPLEDGE_PROXY_TESTS_SCHEDULEDCLIENTS_H
 #define STEPLEDGE_PROXY_TESTS_SCHEDULEDCLIENTS_H
@@ -16,33 +17,33 @@
 namespace stepledge::proxy::tests {
 
 /// The configuration of all schedules: one service, one route for each policy.
-/// Without \p organisations anybody may ask.
-control::Configuration scheduleConfiguration(int mostConnections,
+/// Without \p organisations clients need no key.
+control::Configuration scheduleConfiguration(int maxConnections,
                                              int organisations = 0);
 
 class ScheduledClients {
 public:
   explicit ScheduledClients(SimulatedInstances &group) : Group(group) {}
 
-  /// One more client, at \p proxy.
+  /// Adds a client that is connected to \p proxy.
   void add(TimePoint now, Proxy &proxy);
   void step(TimePoint now);
-  /// No client asks anything more.
+  /// No client sends further statements.
   void finish() { IsAsking = false; }
-  /// All that can be held against the promises; empty if they were kept.
+  /// A guarantee that was violated; empty if there is none.
   std::string check();
   int succeeded() const { return Succeeded; }
 
 private:
-  /// A commit that its client was told of.
-  struct Acknowledged {
+  /// A write whose commit was acknowledged to its client.
+  struct AcknowledgedWrite {
     std::string Write;
     TimePoint At{};
     std::uint64_t Client = 0;
   };
   struct Client {
     ClientId Id;
-    Proxy *Front = nullptr;
+    Proxy *Server = nullptr;
     control::ReadPolicy Policy = control::ReadPolicy::Current;
     SimulatedInstances::ClientView View;
     bool IsAwaiting = false;
@@ -58,16 +59,16 @@
   std::uint64_t pick(std::uint64_t n) { return Group.random()() % n; }
   void ask(Client &client);
   static std::string textOf(const ClientStatement &statement);
-  std::set<std::string> mustSee(const Client &client) const;
-  void takeAnswers(Client &client);
-  void take(Client &client, const StatementReply &reply);
+  std::set<std::string> requiredWrites(const Client &client) const;
+  void handleReplies(Client &client);
+  void handleReply(Client &client, const StatementReply &reply);
   void checkHistory();
 
   SimulatedInstances &Group;
   TimePoint Now{};
   std::vector<Client> Clients;
-  std::vector<Acknowledged> Acks;
-  std::set<std::string> Promised;
+  std::vector<AcknowledgedWrite> AcknowledgedWrites;
+  std::set<std::string> ReportedUndone;
   std::uint64_t LastId = 0;
   int Succeeded = 0;
   bool IsAsking = true;
--- a/src/proxy/tests/SilentConnectionTest.cpp
+++ b/src/proxy/tests/SilentConnectionTest.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// Answers all but what waits on \p silent.
-void answerOthers(Fixture &it, ConnectionId silent) {
+/// Answers all commands except those on \p silent.
+void answerAllExcept(Fixture &it, ConnectionId silent) {
   for (int n = 0; n < 20; ++n)
     for (auto &[id, commands] : it.Io.Sent) {
       if (id == silent || commands.empty())
@@ -31,22 +31,23 @@
     }
 }
 
-/// Sends a write; gives the connection that will say nothing to it.
-ConnectionId askOnASilentConnection(Fixture &it, ClientId client,
-                                    const char *text) {
+/// Sends a write; returns its connection, which doesn't answer it.
+ConnectionId writeOnSilentConnection(Fixture &it, ClientId client,
+                                     const char *text) {
   it.ask(client, StatementKind::Write, text);
   const auto silent = it.carrierOf(text);
   REQUIRE(silent);
   return *silent;
 }
 
-/// Lets 30 ms pass \p rounds times; other clients' writes are answered in each.
-void letOthersWork(Fixture &it, ConnectionId silent, int rounds) {
+/// Advances the time by 30 ms \p rounds times; other clients' writes are
+/// answered in each round.
+void runOtherClients(Fixture &it, ConnectionId silent, int rounds) {
   for (int i = 0; i < rounds; ++i) {
     const std::string text = "WRITE other " + std::to_string(i);
     it.ask(it.connect("current"), StatementKind::Write, text.c_str());
     it.advance(milliseconds(30));
-    answerOthers(it, silent);
+    answerAllExcept(it, silent);
   }
 }
 
@@ -62,17 +63,17 @@
     if (!commands.empty())
       silent = id;
   REQUIRE(it.instanceOf(silent) == "p");
-  letOthersWork(it, silent, 20);
+  runOtherClients(it, silent, 20);
   REQUIRE(!it.Io.Answers[client].empty());
   CHECK(it.lastAnswer(client).Code == ReplyCode::Success);
 }
 
-TEST_CASE("SilentConnection_WriteIsInDoubtAndNotRepeated") {
+TEST_CASE("SilentConnection_WriteHasUnknownOutcomeAndIsNotRepeated") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
-  const auto silent = askOnASilentConnection(it, client, "WRITE x 1");
-  letOthersWork(it, silent, 30);
+  const auto silent = writeOnSilentConnection(it, client, "WRITE x 1");
+  runOtherClients(it, silent, 30);
   REQUIRE(!it.Io.Answers[client].empty());
   CHECK(it.lastAnswer(client).Code == ReplyCode::OutcomeUnknown);
   for (const auto &[id, commands] : it.Io.Sent)
@@ -80,21 +81,21 @@
       CHECK((id == silent || command.Text != "WRITE x 1"));
 }
 
-TEST_CASE("SilentConnection_IsReplacedSoonAfterItsStatementIsGivenUp") {
+TEST_CASE("SilentConnection_IsReplacedSoonAfterItsStatementIsAbandoned") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
-  const auto silent = askOnASilentConnection(it, client, "WRITE x 1");
+  const auto silent = writeOnSilentConnection(it, client, "WRITE x 1");
   it.Core.clientLeft(it.Now, client);
-  // 0.75 s: without word of the later answers it would be kept for 2.5 s.
-  letOthersWork(it, silent, 25);
+  // 0.75 s: without regard to the later answers it would be kept for 2.5 s.
+  runOtherClients(it, silent, 25);
   CHECK(!it.Io.Opened.contains(silent));
 }
 
-TEST_CASE("SilentConnection_QuestionsForThePositionFindIt") {
+TEST_CASE("SilentConnection_PositionProbesDetectIt") {
   Fixture it;
   it.warmUp();
-  // Two connections rest; the questions must reach both of them.
+  // Two connections become idle; the probes must reach both of them.
   const auto first = it.connect("current");
   const auto second = it.connect("current");
   it.ask(first, StatementKind::Write, "WRITE a 1");
@@ -119,40 +120,40 @@
   CHECK(asked.contains(*b));
 }
 
-TEST_CASE("SilentConnection_TransactionOnItIsAbortedInTimeForAnotherTry") {
+TEST_CASE("SilentConnection_TransactionOnItIsAbortedInTimeForARetry") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
   const auto silent = it.beginTransaction(client);
   it.ask(client, StatementKind::Write, "WRITE y 1");
-  // 0.36 s of the route's 0.8 s.
-  letOthersWork(it, silent, 12);
+  // 0.36 s, of the route's statement timeout of 0.8 s.
+  runOtherClients(it, silent, 12);
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
   CHECK(!it.Io.Opened.contains(silent));
 }
 
-TEST_CASE("SilentConnection_TransactionOfACutPrimaryIsAbortedInTime") {
+TEST_CASE("SilentConnection_TransactionOfAnUnreachablePrimaryIsAbortedInTime") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
   it.beginTransaction(client);
   it.ask(client, StatementKind::Write, "WRITE y 1");
-  // The primary answers nobody any more.
+  // The primary answers nothing any more.
   for (int i = 0; i < 16; ++i)
     it.advance(milliseconds(30));
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
   CHECK(it.lastAnswer(client).State == SessionState::Failed);
 }
 
-TEST_CASE("SilentConnection_CommitOnItIsNotGivenUpEarly") {
+TEST_CASE("SilentConnection_CommitOnItIsNotAbandonedEarly") {
   Fixture it;
   it.warmUp();
   const auto client = it.connect("current");
   const auto silent = it.beginTransaction(client);
   const auto answered = it.Io.Answers[client].size();
   it.ask(client, StatementKind::Commit, "COMMIT");
-  letOthersWork(it, silent, 12);
+  runOtherClients(it, silent, 12);
   CHECK(it.Io.Answers[client].size() == answered);
-  letOthersWork(it, silent, 20);
+  runOtherClients(it, silent, 20);
   CHECK(it.lastAnswer(client).Code == ReplyCode::OutcomeUnknown);
 }
--- a/src/proxy/tests/SimulatedInstances.h
+++ b/src/proxy/tests/SimulatedInstances.h
@@ -20,7 +20,7 @@
 
 namespace stepledge::proxy::tests {
 
-/// A write that was committed, by the text that the client sent.
+/// A commit and the ids of the statements that wrote in it.
 struct Commit {
   Mark Position;
   std::vector<std::string> Writes;
@@ -34,14 +34,14 @@
   SimulatedInstances(std::uint64_t seed, std::size_t count);
 
   void setProxy(Proxy &proxy) { Proxies = {&proxy}; }
-  /// One more proxy; its connections have numbers from idBase() on.
+  /// Adds a proxy; the ids of its connections start at idBase().
   void addProxy(Proxy &proxy) { Proxies.push_back(&proxy); }
   static ConnectionId idBase(std::size_t proxy) {
     return ConnectionId{static_cast<std::uint64_t>(proxy) << ProxyShift};
   }
   /// Refuses connections to an instance beyond this number.
-  void setMostConnections(std::size_t n) { MostConnections = n; }
-  /// Moves time on; what is due is delivered.
+  void setMostConnections(std::size_t n) { MaxConnections = n; }
+  /// Advances the time and delivers the events that are due.
   void advance(TimePoint now);
   void announceAll();
 
@@ -51,11 +51,11 @@
   /// Makes \p instance the primary; commits that it lacks are rolled back.
   void promote(std::size_t instance);
   void setLag(std::size_t instance, Duration lag);
-  /// Messages to and from it are held up, and nobody is told.
+  /// Holds up messages to and from it; no connection is closed for it.
   void silence(std::size_t instance, bool isSilent);
   void setBusyShare(double share) { BusyShare = share; }
 
-  std::size_t primary() const { return Lead; }
+  std::size_t primary() const { return PrimaryIndex; }
   std::size_t size() const { return Instances.size(); }
   bool isUp(std::size_t instance) const { return Instances[instance].IsUp; }
   /// The commits that no promotion has rolled back.
@@ -63,7 +63,8 @@
   const std::string &fault() const { return Fault; }
   std::mt19937_64 &random() { return Random; }
 
-  /// What the client of a statement holds, told by the test before it asks.
+  /// The session state of a statement's client; the test sets it before the
+  /// client sends the statement.
   struct ClientView {
     SessionValues Values;
     std::map<std::string, PreparedShape> Prepared;
@@ -72,7 +73,7 @@
   };
   std::map<std::string, ClientView> Views;
   /// By statement id: the commits that its read must see.
-  std::map<std::string, std::set<std::string>> MustSee;
+  std::map<std::string, std::set<std::string>> RequiredWrites;
   std::map<ClientId, std::deque<StatementReply>> Answers;
   std::set<ClientId> Accepted;
 
@@ -92,7 +93,7 @@
     (void)ip;
     return false;
   }
-  /// It knows no lenders: a borrowed connection goes to the instance too.
+  /// Simulates no lenders: a borrowed connection goes to the instance too.
   void sendBorrowed(ConnectionId connection,
                     const std::vector<InstanceCommand> &commands,
                     const BorrowNeeds &needs) override {
@@ -118,8 +119,8 @@
     bool IsUp = true;
     bool IsSilent = false;
     Duration Lag = milliseconds(30);
-    /// How much of the history it holds.
-    std::size_t Held = 0;
+    /// The number of commits of the history that it has.
+    std::size_t HeldCommits = 0;
     std::uint64_t Term = 1;
     std::uint64_t Sequence = 0;
   };
@@ -127,7 +128,7 @@
     std::size_t Instance = 0;
     std::optional<OrganisationId> Organisation;
     TimePoint FreeAt{};
-    /// Replies come in turn.
+    /// When the last reply arrives; the next one arrives no earlier.
     TimePoint RepliedAt{};
     SessionValues Values;
     std::map<std::string, PreparedShape> Prepared;
@@ -136,7 +137,7 @@
     bool HasFailed = false;
     std::optional<std::uint64_t> Owner;
     std::vector<std::string> Writes;
-    std::uint64_t BegunInTerm = 0;
+    std::uint64_t BeginTerm = 0;
   };
   struct Event {
     TimePoint At{};
@@ -149,7 +150,7 @@
   };
 
   void post(Event event);
-  bool isHeldUp(const Event &event) const;
+  bool isBlocked(const Event &event) const;
   void deliver(Event event);
   StatementReply run(Connection &connection, const InstanceCommand &command);
   StatementReply runClient(Connection &connection,
@@ -159,20 +160,21 @@
   Mark positionOf(const Instance &instance) const;
   void commit(std::size_t instance, std::vector<std::string> writes);
   void replicate();
-  void lose(ConnectionId connection);
+  void loseConnection(ConnectionId connection);
   Duration draw(int least, int most);
 
   static constexpr unsigned ProxyShift = 40;
-  /// Calls \p tell with the proxy that opened the connection, and its own id.
-  template <typename Tell> void tellOwner(ConnectionId id, Tell tell) {
+  /// Calls \p notify with the proxy that opened the connection and the
+  /// connection's id there.
+  template <typename Notify> void notifyOwner(ConnectionId id, Notify notify) {
     const std::size_t owner = id.Number >> ProxyShift;
-    tell(*Proxies[owner], ConnectionId{id.Number - idBase(owner).Number});
+    notify(*Proxies[owner], ConnectionId{id.Number - idBase(owner).Number});
   }
 
   std::vector<Proxy *> Proxies;
-  std::size_t MostConnections = 1000;
+  std::size_t MaxConnections = 1000;
   std::vector<Instance> Instances;
-  std::size_t Lead = 0;
+  std::size_t PrimaryIndex = 0;
   std::uint64_t Term = 1;
   std::vector<Commit> History;
   std::map<ConnectionId, Connection> Connections;
--- a/src/proxy/tests/UnevenInstancesTest.cpp
+++ b/src/proxy/tests/UnevenInstancesTest.cpp
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What callers get while instances are slow, fail or go up and down.
+/// \file How clients' reads are answered while instances are slow, fail or
+/// flap.
 
 #include "proxy/tests/UnevenGroup.h"
 
@@ -20,29 +21,31 @@
 
 namespace {
 
-/// Reads a second; two instances serve 600, so the siblings of one have room.
-constexpr double Rate = 300;
-/// Of reads, from two seconds after the trouble begins.
-constexpr double GoodShare = 0.95;
-/// Of reads that were sent twice, with the trouble's first moment.
-constexpr double SecondTryShare = 0.05;
-/// Of reads within the tightest objective: of the reads that probe an instance,
-/// one in five at most may be beyond it, which is one in 200 of all.
-constexpr double PromptShare = 0.995;
-constexpr Duration Warm = milliseconds(4000);
-constexpr Duration Notice = milliseconds(2000);
-/// For answers that are still owed.
-constexpr Duration Rest = milliseconds(1500);
+/// Reads a second; two instances serve 600, so the siblings of one instance
+/// have capacity for all.
+constexpr double ReadRate = 300;
+/// Least share of good reads, from two seconds after the fault begins.
+constexpr double MinGoodShare = 0.95;
+/// Greatest share of reads that are sent twice, also right after the fault
+/// begins.
+constexpr double MaxSecondTryShare = 0.05;
+/// Least share of reads within the tightest objective: of the reads that probe
+/// an outlier, at most one in five may exceed it, which is one in 200 of all.
+constexpr double MinPromptShare = 0.995;
+constexpr Duration WarmUpTime = milliseconds(4000);
+constexpr Duration DetectionTime = milliseconds(2000);
+/// Time for the outstanding answers.
+constexpr Duration DrainTime = milliseconds(1500);
 
-double secondTries(const UnevenGroup &group, const ReadTally &tally) {
-  return static_cast<double>(group.sendings() - tally.Asked) / tally.Asked;
+double secondTryShare(const UnevenGroup &group, const ReadTally &tally) {
+  return static_cast<double>(group.sentReads() - tally.Asked) / tally.Asked;
 }
 
 } // namespace
 
 TEST_CASE("UnevenInstances_EqualInstancesAreChosenByCostAlone") {
-  // The order of expected answer times, with the prices of another hall and of
-  // the primary in ms; nothing that a draw says changes it.
+  // Ranked by the expected answer times, with the costs of another hall and of
+  // the primary in ms; a draw doesn't change the order.
   constexpr double OtherHall = 12.0;
   constexpr double Primary = 5.0;
   const TimePoint now(std::chrono::seconds(10));
@@ -85,7 +88,7 @@
   }
 }
 
-TEST_CASE("UnevenInstances_PositionDecidesBeforeWhoStandsOut") {
+TEST_CASE("UnevenInstances_PositionTakesPrecedenceOverOutliers") {
   const TimePoint now(std::chrono::seconds(10));
   const Mark needed{{3}, {100}};
   InstanceTracker tracker{HallId("a")};
@@ -103,7 +106,7 @@
   const ReadDraw notDrawn{0.9, {}};
   CHECK(tracker.readCandidates(now, needed, {}, notDrawn) ==
         std::vector{behind});
-  // The siblings have no room for a read that has waited.
+  // The siblings have no capacity for a read that has waited.
   const ReadDraw waited{0.9, milliseconds(100)};
   CHECK(tracker.readCandidates(now, needed, {}, waited) ==
         std::vector{behind, slow});
@@ -115,7 +118,7 @@
   CHECK(tracker.readCandidates(now, needed, {}, notDrawn) == std::vector{slow});
 }
 
-TEST_CASE("UnevenInstances_PrimaryKeepsWhatOnlyItCanRun") {
+TEST_CASE("UnevenInstances_OutlierStaysThePrimary") {
   const TimePoint now(std::chrono::seconds(10));
   InstanceTracker tracker{HallId("a")};
   const InstanceId primary("p");
@@ -132,7 +135,7 @@
   CHECK(tracker.primary(now) == primary);
 }
 
-TEST_CASE("UnevenInstances_AnInstanceAloneKeepsAllReads") {
+TEST_CASE("UnevenInstances_SingleInstanceKeepsAllReads") {
   const TimePoint now(std::chrono::seconds(10));
   InstanceTracker tracker{HallId("a")};
   membership::InstanceRecord record;
@@ -144,212 +147,213 @@
   CHECK(tracker.readCandidates(now, {}, {}, last) == std::vector{record.Id});
 }
 
-TEST_CASE("UnevenInstances_SlowReplicaIsLeftToItsSiblings") {
+TEST_CASE("UnevenInstances_ReadsOfASlowReplicaGoToItsSiblings") {
   for (const std::uint64_t seed : {1, 2, 3}) {
     UnevenGroup group(seed, 4);
-    group.play(Warm, Rate);
-    group.forgetCounts();
+    group.runFor(WarmUpTime, ReadRate);
+    group.resetCounts();
     group.instance("r1").Slowness = 6;
-    const auto &first = group.play(Notice, Rate);
-    CHECK(secondTries(group, first) <= SecondTryShare);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(4000), Rate);
-    CHECK(secondTries(group, tally) <= SecondTryShare);
+    const auto &first = group.runFor(DetectionTime, ReadRate);
+    CHECK(secondTryShare(group, first) <= MaxSecondTryShare);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+    CHECK(secondTryShare(group, tally) <= MaxSecondTryShare);
     group.instance("r1").Slowness = 1;
-    group.play(milliseconds(8000), Rate);
-    group.forgetCounts();
-    const auto &after = group.play(milliseconds(2000), Rate);
+    group.runFor(milliseconds(8000), ReadRate);
+    group.resetCounts();
+    const auto &after = group.runFor(milliseconds(2000), ReadRate);
     const int back = group.instance("r1").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " first ", first.goodShare(), " then ",
          tally.goodShare(), " back ", back, " of ", after.Asked);
-    CHECK(tally.goodShare() >= GoodShare);
-    // It has its share again.
+    CHECK(tally.goodShare() >= MinGoodShare);
+    // It gets its share of the reads again.
     CHECK(back > after.Asked / 5);
   }
 }
 
 TEST_CASE("UnevenInstances_ReadAtASlowReplicaIsMovedInTime") {
-  // All of its answers are beyond the tightest objective; reads that probe it
-  // are within it all the same.
+  // All answers of the slow replica exceed the tightest objective; reads that
+  // probe it meet the objective nevertheless.
   for (const std::uint64_t seed : {11, 12, 13}) {
     UnevenGroup group(seed, 4);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     group.instance("r1").Slowness = 40;
-    group.play(Notice, Rate);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(4000), Rate);
-    const double tries = secondTries(group, tally);
+    group.runFor(DetectionTime, ReadRate);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+    const double tries = secondTryShare(group, tally);
     const int there = group.instance("r1").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " prompt ", tally.promptShare(), " twice ", tries,
          " there ", there, " of ", tally.Asked);
     CHECK(there > 0);
-    CHECK(tally.promptShare() >= PromptShare);
-    CHECK(tries <= SecondTryShare);
+    CHECK(tally.promptShare() >= MinPromptShare);
+    CHECK(tries <= MaxSecondTryShare);
   }
 }
 
-TEST_CASE("UnevenInstances_FailingReplicaIsLeftToItsSiblings") {
-  for (const bool isQuick : {false, true})
+TEST_CASE("UnevenInstances_ReadsOfAFailingReplicaGoToItsSiblings") {
+  for (const bool isFast : {false, true})
     for (const std::uint64_t seed : {1, 2, 3}) {
       UnevenGroup group(seed, 4);
-      group.play(Warm, Rate);
+      group.runFor(WarmUpTime, ReadRate);
       group.instance("r1").FailingShare = 0.4;
-      group.instance("r1").FailsFast = isQuick;
-      group.play(Notice, Rate);
-      group.forgetCounts();
-      const auto &tally = group.play(milliseconds(4000), Rate);
-      const double tries = secondTries(group, tally);
+      group.instance("r1").FailsFast = isFast;
+      group.runFor(DetectionTime, ReadRate);
+      group.resetCounts();
+      const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+      const double tries = secondTryShare(group, tally);
       const int there = group.instance("r1").Reads;
-      group.play(Rest, 0);
-      INFO("seed ", seed, " quick ", isQuick, " good ", tally.goodShare(),
+      group.runFor(DrainTime, 0);
+      INFO("seed ", seed, " fast ", isFast, " good ", tally.goodShare(),
            " twice ", tries, " there ", there, " of ", tally.Asked);
-      CHECK(tally.goodShare() >= GoodShare);
-      CHECK(tries <= SecondTryShare);
+      CHECK(tally.goodShare() >= MinGoodShare);
+      CHECK(tries <= MaxSecondTryShare);
     }
 }
 
-TEST_CASE("UnevenInstances_QuickLiarDrawsNoReads") {
+TEST_CASE("UnevenInstances_FastFailingReplicaAttractsNoReads") {
   for (const std::uint64_t seed :
        {4, 101, 102, 103, 104, 105, 106, 107, 108, 109, 110}) {
     UnevenGroup group(seed, 4);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     group.instance("r1").FailingShare = 1.0;
     group.instance("r1").FailsFast = true;
-    group.play(Notice, Rate);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(4000), Rate);
-    const double tries = secondTries(group, tally);
+    group.runFor(DetectionTime, ReadRate);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+    const double tries = secondTryShare(group, tally);
     const int there = group.instance("r1").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " good ", tally.goodShare(), " twice ", tries,
          " there ", there, " of ", tally.Asked);
-    CHECK(tally.goodShare() >= GoodShare);
-    CHECK(tries <= SecondTryShare);
+    CHECK(tally.goodShare() >= MinGoodShare);
+    CHECK(tries <= MaxSecondTryShare);
   }
 }
 
-TEST_CASE("UnevenInstances_FlappingReplicaIsLeftToItsSiblings") {
+TEST_CASE("UnevenInstances_ReadsOfAFlappingReplicaGoToItsSiblings") {
   for (const std::uint64_t seed : {1, 2, 3}) {
     UnevenGroup group(seed, 4);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     std::vector<const ReadTally *> tallies;
     const auto flap = [&](int times) {
       tallies.clear();
       for (int i = 0; i < times; ++i)
         for (const bool isUp : {false, true}) {
-          group.setUp("r1", isUp);
-          tallies.push_back(&group.play(milliseconds(400), Rate));
+          group.setIsUp("r1", isUp);
+          tallies.push_back(&group.runFor(milliseconds(400), ReadRate));
         }
     };
     flap(3);
-    group.forgetCounts();
+    group.resetCounts();
     flap(5);
-    const int sent = group.sendings();
-    group.play(Rest, 0);
+    const int sent = group.sentReads();
+    group.runFor(DrainTime, 0);
     ReadTally all;
     for (const auto *it : tallies) {
       all.Asked += it->Asked;
       all.Good += it->Good;
     }
-    CHECK(all.goodShare() >= GoodShare);
+    CHECK(all.goodShare() >= MinGoodShare);
     const double tries = static_cast<double>(sent - all.Asked) / all.Asked;
-    CHECK(tries <= SecondTryShare);
-    // A line when it is held back and one when it returns, which takes longer
-    // than it is up here.
+    CHECK(tries <= MaxSecondTryShare);
+    // One log line when it becomes an outlier and one when it recovers, which
+    // takes longer than it is up here.
     for (const std::size_t vm : {0, 1, 2, 3})
-      CHECK(group.outlierLines(vm) <= 2);
+      CHECK(group.outlierLogLines(vm) <= 2);
   }
 }
 
-TEST_CASE("UnevenInstances_OnlyTheVmWithTheBadLinkTurnsAway") {
+TEST_CASE("UnevenInstances_OnlyTheVmWithTheSlowLinkAvoidsTheInstance") {
   UnevenGroup group(5, 4);
-  group.play(Warm, Rate);
-  group.setLink(0, "r1", milliseconds(60));
-  group.play(Notice, Rate);
+  group.runFor(WarmUpTime, ReadRate);
+  group.setLinkDelay(0, "r1", milliseconds(60));
+  group.runFor(DetectionTime, ReadRate);
   CHECK(group.vm(0).heldBackInstances() == 1);
-  CHECK(group.outlierLines(0) == 1);
+  CHECK(group.outlierLogLines(0) == 1);
   for (const std::size_t other : {1, 2, 3}) {
     CHECK(group.vm(other).heldBackInstances() == 0);
-    CHECK(group.outlierLines(other) == 0);
+    CHECK(group.outlierLogLines(other) == 0);
   }
-  const auto &tally = group.play(milliseconds(2000), Rate);
-  group.play(Rest, 0);
-  CHECK(tally.goodShare() >= GoodShare);
+  const auto &tally = group.runFor(milliseconds(2000), ReadRate);
+  group.runFor(DrainTime, 0);
+  CHECK(tally.goodShare() >= MinGoodShare);
 }
 
-TEST_CASE("UnevenInstances_GroupThatIsSlowAsAWholeKeepsAll") {
+TEST_CASE("UnevenInstances_UniformlySlowGroupHasNoOutliers") {
   UnevenGroup group(6, 4);
-  group.play(Warm, Rate);
+  group.runFor(WarmUpTime, ReadRate);
   for (const char *name : {"p", "r1", "r2"})
     group.instance(name).Slowness = 2.5;
   for (int i = 0; i < 20; ++i) {
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(200), Rate / 2);
-    CHECK(secondTries(group, tally) <= SecondTryShare);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(200), ReadRate / 2);
+    CHECK(secondTryShare(group, tally) <= MaxSecondTryShare);
     for (const std::size_t vm : {0, 1, 2, 3})
       CHECK(group.vm(vm).heldBackInstances() == 0);
   }
 }
 
-TEST_CASE("UnevenInstances_ManyVmsDontTurnToOneSiblingAtOnce") {
+TEST_CASE("UnevenInstances_ManyVmsDontOverloadOneSibling") {
   UnevenGroup group(7, 70);
-  group.play(Warm, Rate);
+  group.runFor(WarmUpTime, ReadRate);
   group.instance("r1").Slowness = 6;
-  group.play(Notice, Rate);
-  group.forgetCounts();
-  const auto &tally = group.play(milliseconds(4000), Rate);
-  const double tries = secondTries(group, tally);
-  group.play(Rest, 0);
+  group.runFor(DetectionTime, ReadRate);
+  group.resetCounts();
+  const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+  const double tries = secondTryShare(group, tally);
+  group.runFor(DrainTime, 0);
   INFO("good ", tally.goodShare(), " twice ", tries, " p ",
        group.instance("p").Reads, " r1 ", group.instance("r1").Reads, " r2 ",
        group.instance("r2").Reads);
-  CHECK(tally.goodShare() >= GoodShare);
-  CHECK(tries <= SecondTryShare);
+  CHECK(tally.goodShare() >= MinGoodShare);
+  CHECK(tries <= MaxSecondTryShare);
 }
 
-// Such VMs forgot between two reads that the replica failed, and came back.
-TEST_CASE("UnevenInstances_ManyVmsKeepAwayWhileAReplicaFails") {
+// Guards against VMs with few reads that drop a replica's failures between two
+// reads and send it reads again.
+TEST_CASE("UnevenInstances_ManyVmsAvoidAReplicaWhileItFails") {
   for (const std::uint64_t seed : {21, 22, 23}) {
     UnevenGroup group(seed, 70);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     group.instance("r1").FailingShare = 0.4;
-    group.play(Notice, Rate);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(15000), Rate);
-    const double tries = secondTries(group, tally);
+    group.runFor(DetectionTime, ReadRate);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(15000), ReadRate);
+    const double tries = secondTryShare(group, tally);
     group.instance("r1").FailingShare = 0;
-    group.play(milliseconds(6000), Rate);
-    group.forgetCounts();
-    group.play(milliseconds(3000), Rate);
+    group.runFor(milliseconds(6000), ReadRate);
+    group.resetCounts();
+    group.runFor(milliseconds(3000), ReadRate);
     const int back = group.instance("r1").Reads;
     const int sibling = group.instance("r2").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " good ", tally.goodShare(), " twice ", tries, " back ",
          back, " sibling ", sibling);
-    CHECK(tally.goodShare() >= GoodShare);
-    CHECK(tries <= SecondTryShare);
-    // It has its reads again, once it is well.
+    CHECK(tally.goodShare() >= MinGoodShare);
+    CHECK(tries <= MaxSecondTryShare);
+    // It gets its reads again once it has recovered.
     CHECK(back >= sibling / 2);
   }
 }
 
-TEST_CASE("UnevenInstances_ManyVmsEachFindOutAFailingReplica") {
-  // Four reads a second of each VM, so one or two at each instance.
+TEST_CASE("UnevenInstances_ManyVmsEachDetectAFailingReplica") {
+  // Four reads a second by each VM, so one or two at each instance.
   for (const std::uint64_t seed : {21, 22, 23}) {
     UnevenGroup group(seed, 70);
-    group.play(Warm, Rate);
+    group.runFor(WarmUpTime, ReadRate);
     group.instance("r1").FailingShare = 0.4;
-    group.play(Notice, Rate);
-    group.forgetCounts();
-    const auto &tally = group.play(milliseconds(4000), Rate);
-    const double tries = secondTries(group, tally);
+    group.runFor(DetectionTime, ReadRate);
+    group.resetCounts();
+    const auto &tally = group.runFor(milliseconds(4000), ReadRate);
+    const double tries = secondTryShare(group, tally);
     const int there = group.instance("r1").Reads;
-    group.play(Rest, 0);
+    group.runFor(DrainTime, 0);
     INFO("seed ", seed, " good ", tally.goodShare(), " twice ", tries,
          " there ", there, " of ", tally.Asked);
-    CHECK(tally.goodShare() >= GoodShare);
-    CHECK(tries <= SecondTryShare);
+    CHECK(tally.goodShare() >= MinGoodShare);
+    CHECK(tries <= MaxSecondTryShare);
   }
 }
