--- a/src/overload/LineLoad.cpp
+++ b/src/overload/LineLoad.cpp
@@ -40,7 +40,7 @@
 }
 
 Duration LineLoad::drainTime(int ahead, int connections) const {
-  // NOTE: of some connections at work, the first is free again sooner than the
+  // NOTE: of several busy connections, the first is free again sooner than the
   // others.
   const int n = std::max(1, connections);
   return Held * ahead / n + Held / (n + 1);
--- a/src/overload/LineLoad.h
+++ b/src/overload/LineLoad.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file How long a use that comes now would wait in a line for connections to
-/// one instance.
+/// \file Estimates how long a borrow that arrives now would wait in the queue
+/// for connections to one instance.
 
 #ifndef STEPLEDGE_OVERLOAD_LINELOAD_H
 #define STEPLEDGE_OVERLOAD_LINELOAD_H
@@ -15,18 +15,20 @@
 namespace stepledge::overload {
 
 struct LoadOptions {
-  /// Weight of a new sample in the smoothed time that a connection is held:
-  /// some tens of uses, so that a few long ones don't look like an overload.
+  /// Weight of a new sample in the smoothed hold time: averages over some tens
+  /// of borrows, so that a few long ones don't look like an overload.
   double HeldWeight = 0.05;
-  /// A use counts at most so many times as long as usual: a transaction may
-  /// rest a hundred times as long, and its connection isn't counted among the
-  /// others meanwhile.
+  /// Caps a sample at this multiple of the smoothed hold time: a transaction
+  /// may be idle a hundred times as long, and its connection isn't counted
+  /// among the others meanwhile.
   int MostHeldFactor = 4;
-  /// The time over which it is counted who begins: about an objective, so that
-  /// a burst shows before those who wait behind it are late.
+  /// Window over which the rate of started borrows is measured: about one
+  /// latency objective, so that a burst shows before the borrows queued behind
+  /// it are late.
   Duration RateWindow = milliseconds(300);
-  /// The part of the room that more urgent uses are taken to need at most: what
-  /// little is left lets one use find out when there is room again.
+  /// Maximum share of the capacity that more urgent borrows are assumed to
+  /// need: the small remainder lets one borrow find out when there is capacity
+  /// again.
   double MostTaken = 0.95;
 };
 
@@ -34,18 +36,18 @@
 public:
   explicit LineLoad(LoadOptions options = {}) : Options(options) {}
 
-  /// A use of that urgency got a connection.
+  /// Records that a borrow of that urgency got a connection.
   void noteBegun(TimePoint now, const Urgency &urgency);
-  /// A use has held its connection for so long.
+  /// Records how long a borrow held its connection.
   void noteHeld(Duration time);
-  /// The smoothed time that a use holds a connection; 0 while it isn't known.
+  /// The smoothed time for which a borrow holds a connection; 0 while unknown.
   Duration held() const { return Held; }
-  /// The wait of a use that finds \p ahead others who go first and
-  /// \p connections, none of them free; 0 while it isn't known. Others that are
-  /// more urgent go on coming meanwhile, as of late.
+  /// The expected wait of a borrow with \p ahead others before it in the queue
+  /// and \p connections, none of them free; 0 while unknown. Assumes that more
+  /// urgent borrows go on arriving at their recent rate.
   Duration wait(TimePoint now, const Urgency &urgency, int ahead,
                 int connections) const;
-  /// The same if nobody else comes.
+  /// The same if no other borrow arrives.
   Duration drainTime(int ahead, int connections) const;
 
 private:
@@ -55,7 +57,7 @@
     TimePoint At{};
   };
   double numberNow(TimePoint now, const Count &count) const;
-  /// The part of the connections' time that more urgent uses take.
+  /// The share of the connections' time that more urgent borrows take.
   double takenBefore(TimePoint now, const Urgency &urgency,
                      int connections) const;
 
--- a/src/overload/RetryTime.cpp
+++ b/src/overload/RetryTime.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Any sooner, a return costs more than the wait that it saves: about the way
-/// between two VMs and back.
+/// About one round trip between two VMs: an earlier retry costs more than the
+/// wait that it saves.
 constexpr Duration LeastPause = milliseconds(5);
 
-/// FNV-1a with a last mixing, which spreads ids that differ in one figure.
+/// FNV-1a with a final mixing step, which spreads ids that differ in one digit.
 std::uint64_t hashOf(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325U;
   for (const char c : text)
--- a/src/overload/RetryTime.h
+++ b/src/overload/RetryTime.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file When a client that was refused for want of room is asked to return.
+/// \file When a client that was refused for lack of capacity should retry.
 
 #ifndef STEPLEDGE_OVERLOAD_RETRYTIME_H
 #define STEPLEDGE_OVERLOAD_RETRYTIME_H
@@ -12,9 +12,9 @@
 
 namespace stepledge::overload {
 
-/// Between one and two times \p wait, after which there should be room: spread
-/// evenly by \p statement, so that those who were refused together return one
-/// by one, at about the rate at which the line gets shorter.
+/// A delay between one and two times \p wait, after which there should be
+/// capacity. A hash of \p statement spreads it evenly, so that clients refused
+/// together retry one by one, at about the rate at which the queue shrinks.
 Duration retryTime(Duration wait, std::string_view statement);
 
 } // namespace stepledge::overload
--- a/src/overload/ToldWaits.cpp
+++ b/src/overload/ToldWaits.cpp
@@ -14,7 +14,7 @@
   std::erase_if(word.Waits,
                 [&](const auto &it) { return it.second.Expires <= now; });
   const Wait told{now + wait, now + std::min(wait, Options.MostBelieved)};
-  // NOTE: the newest word holds, and who is more urgent waits no longer.
+  // NOTE: the newest report applies, and a more urgent borrow waits no longer.
   for (auto it = word.Waits.begin();
        it != word.Waits.end() && it->first < urgency; ++it)
     it->second = {std::min(it->second.Until, told.Until),
--- a/src/overload/ToldWaits.h
+++ b/src/overload/ToldWaits.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The expected waits that lenders have told, as far as they still hold.
+/// \file The expected waits that lenders have reported, while the reports are
+/// valid.
 
 #ifndef STEPLEDGE_OVERLOAD_TOLDWAITS_H
 #define STEPLEDGE_OVERLOAD_TOLDWAITS_H
@@ -16,12 +17,12 @@
 namespace stepledge::overload {
 
 struct ToldOptions {
-  /// A word is believed no longer than this: a line that got shorter sooner is
-  /// found again while most statements can still make their objectives, which
+  /// A report is valid for at most this time: a queue that shrank sooner is
+  /// tried again while most statements can still meet their objectives, which
   /// are some 150 to 600 ms.
   Duration MostBelieved = milliseconds(400);
-  /// One use in each such time goes to a lender in spite of its word: within
-  /// the tightest objectives it is known that there is room again.
+  /// One borrow per interval goes to a lender in spite of its report, so that
+  /// new capacity is noticed within the tightest objectives.
   Duration ProbeInterval = milliseconds(100);
 };
 
@@ -29,37 +30,40 @@
 public:
   explicit ToldWaits(ToldOptions options = {}) : Options(options) {}
 
-  /// \p lender expects a use of that urgency to wait for so long.
+  /// Records that \p lender expects a borrow of that urgency to wait for
+  /// \p wait.
   void note(TimePoint now, const InstanceId &instance,
             const std::string &lender, const Urgency &urgency, Duration wait);
-  /// What is left of the longest wait told for a use that is at least as
-  /// urgent; 0 if there is none. A longer wait of less urgent ones says nothing
-  /// of it.
+  /// The remainder of the longest wait reported for borrows that are at least
+  /// as urgent; 0 if there is none. A longer wait of less urgent borrows
+  /// doesn't count.
   Duration left(TimePoint now, const InstanceId &instance,
                 const std::string &lender, const Urgency &urgency) const;
-  /// The lender has served a use.
+  /// Records that the lender has served a borrow.
   void noteServed(TimePoint now, const InstanceId &instance,
                   const std::string &lender);
-  /// It has done so lately, and has told no wait since.
+  /// Whether the lender has served a borrow recently and has reported no wait
+  /// since.
   bool isServing(TimePoint now, const InstanceId &instance,
                  const std::string &lender) const;
-  /// How long a word is believed at most.
+  /// The longest time for which a report is valid.
   Duration mostBelieved() const { return Options.MostBelieved; }
-  /// No lender that is still there has served a use or told a wait.
+  /// Whether no lender that is still there has served a borrow or reported a
+  /// wait.
   bool hasNoWord() const { return Words.empty(); }
-  /// No lender has told a wait for the instance that still holds.
+  /// Whether no lender has a valid reported wait for the instance.
   bool isEmpty(TimePoint now, const InstanceId &instance) const;
-  /// Whether one use may go to some lender in spite of what has been told;
+  /// Whether one borrow may go to a lender in spite of the reported waits;
   /// after true, none may for ProbeInterval.
   bool takeProbe(TimePoint now, const InstanceId &instance);
-  /// The lender has gone: one that comes back has another line.
+  /// Drops a lender that has gone: one that comes back has another queue.
   void forget(const InstanceId &instance, const std::string &lender);
 
 private:
   struct Wait {
-    /// When it is over.
+    /// When the wait is over.
     TimePoint Until{};
-    /// When it is no longer believed.
+    /// When the report is no longer valid.
     TimePoint Expires{};
   };
   struct Word {
--- a/src/overload/WaitPolicy.cpp
+++ b/src/overload/WaitPolicy.cpp
@@ -17,15 +17,15 @@
 } // namespace
 
 Duration WaitPolicy::limit(const WaitFacts &facts) const {
-  // NOTE: a transaction under way and one that waits for a new primary don't
-  // wait for room, so refusing them early makes none.
+  // NOTE: a transaction under way and a statement that waits for a new primary
+  // don't wait for capacity, so refusing them early frees none.
   const bool waitsForRoom = !facts.IsUnderWay && !facts.AwaitsPrimary &&
                             facts.StatementTimeout > Duration{};
   const Duration usual = waitsForRoom ? lateLimit(facts) : Options.Longest;
   const Duration longest =
       facts.IsHopeless ? std::min(usual, Options.LongestHopeless) : usual;
   // NOTE: an overload outlasts a single statement, and the sooner the client is
-  // told, the more time its other tries have.
+  // refused, the more time its other tries have.
   return facts.IsShed
              ? std::min(longest, facts.Objective / Options.ShedPatienceDivisor)
              : longest;
--- a/src/overload/WaitPolicy.h
+++ b/src/overload/WaitPolicy.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file How long a statement may wait for room before it is refused as not
-/// run, at the VM that its client asked and at one that lends.
+/// \file How long a statement may wait for capacity before it is refused as not
+/// run, at the VM that its client asked and at a lender.
 
 #ifndef STEPLEDGE_OVERLOAD_WAITPOLICY_H
 #define STEPLEDGE_OVERLOAD_WAITPOLICY_H
@@ -12,23 +12,24 @@
 namespace stepledge::overload {
 
 struct WaitOptions {
-  /// A replaced primary is back sooner, and the client still has time for two
-  /// more tries.
+  /// Default maximum wait: a primary is replaced in less time, and the client
+  /// still has time for two more tries.
   Duration Longest = milliseconds(700);
   /// The same for a statement that can't be sent from this VM for now.
   Duration LongestHopeless = milliseconds(40);
-  /// One that an overloaded primary is spared waits for this part of its
-  /// objective, in case the overload ends at once: one or two statement times.
+  /// A statement that is kept from an overloaded primary waits for this part of
+  /// its objective, one or two statement times, in case the overload ends at
+  /// once.
   int ShedPatienceDivisor = 8;
-  /// The part of the time up to the objective that an expected wait may take:
-  /// the rest is for waits and work that last longer than usual.
+  /// The fraction of the time up to the objective that an expected wait may
+  /// take: the rest is for waits and work that last longer than usual.
   double OnTimePart = 0.75;
-  /// A statement that can't make its objective any more waits until this part
-  /// of its timeout has passed: its client would rather have a late answer than
+  /// A statement that can no longer meet its objective waits until this
+  /// fraction of its timeout has passed: its client prefers a late answer to
   /// none, and once refused still has as long for another try.
   double LatePart = 0.5;
-  /// The same where the timeout isn't told, in objectives: the timeout of a
-  /// route is some three objectives.
+  /// The same as a number of objectives, where the timeout isn't known: the
+  /// timeout of a route is some three objectives.
   int LateObjectives = 2;
 };
 
@@ -36,17 +37,18 @@
 public:
   explicit WaitPolicy(WaitOptions options = {}) : Options(options) {}
 
-  /// Counted from the statement's arrival, for one that could not be sent
-  /// anywhere yet.
+  /// The maximum wait, counted from the statement's arrival, of a statement
+  /// that could not be sent anywhere yet.
   Duration limit(const WaitFacts &facts) const;
-  /// Until when, counted from its arrival, a statement may wait although it is
+  /// How long, counted from its arrival, a statement may wait although it is
   /// late.
   Duration lateLimit(const WaitFacts &facts) const;
   /// The longest expected wait with which a statement of that age, which needs
-  /// \p work besides, should make its objective; 0 if it can't any more.
+  /// \p work besides, should meet its objective; 0 if it no longer can.
   Duration onTime(const WaitFacts &facts, Duration age,
                   Duration work = {}) const;
-  /// The longest expected wait that is of use to it at all.
+  /// The longest expected wait after which an answer is still useful, on time
+  /// or late.
   Duration late(const WaitFacts &facts, Duration age) const;
 
 private:
--- a/src/overload/tests/LineLoadTest.cpp
+++ b/src/overload/tests/LineLoadTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a line for connections tells of its wait.
+/// \file Tests of the estimated wait in a queue for connections.
 
 #include "overload/LineLoad.h"
 
@@ -18,7 +18,8 @@
 constexpr Urgency Usual{false, 1};
 constexpr Urgency Late{true, 0};
 
-/// Uses of \p urgency that keep \p connections busy with 10 ms each.
+/// Simulates borrows of \p urgency that keep \p connections busy with 10 ms
+/// each.
 TimePoint play(LineLoad &load, TimePoint now, const Urgency &urgency,
                int connections, Duration time) {
   const TimePoint end = now + time;
@@ -45,7 +46,7 @@
   CHECK(load.wait(now, Usual, 0, 1) == milliseconds(10));
   CHECK(load.wait(now, Usual, 4, 1) == milliseconds(90));
   CHECK(load.wait(now, Usual, 8, 4) == milliseconds(44));
-  // An instance that none is open to yet counts as one connection.
+  // An instance without an open connection counts as one connection.
   CHECK(load.wait(now, Usual, 4, 0) == milliseconds(90));
 }
 
@@ -68,7 +69,7 @@
 }
 
 TEST_CASE("LineLoad_UsesThatRestDontMakeItSwing") {
-  // Each tenth use rests in its transaction for 300 ms; the others take 10.
+  // Every tenth borrow is idle in transaction for 300 ms; the others take 10.
   LineLoad load;
   Duration least = milliseconds(1000);
   Duration most{};
--- a/src/overload/tests/RetryTimeTest.cpp
+++ b/src/overload/tests/RetryTimeTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file When refused clients return.
+/// \file Tests of when refused clients retry.
 
 #include "overload/RetryTime.h"
 
@@ -24,7 +24,7 @@
     REQUIRE(time < 2 * Wait);
     ++returned[static_cast<std::size_t>((time - Wait) * Parts / Wait)];
   }
-  // In each tenth of the time about a tenth of them.
+  // About a tenth of the clients retry in each tenth of the time.
   for (const int it : returned) {
     CHECK(it > 60);
     CHECK(it < 140);
--- a/src/overload/tests/ToldWaitsTest.cpp
+++ b/src/overload/tests/ToldWaitsTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a borrower believes of its lenders.
+/// \file Tests of the waits that lenders report to a borrower.
 
 #include "overload/ToldWaits.h"
 
@@ -33,11 +33,11 @@
 }
 
 TEST_CASE("ToldWaits_LostOrAbsurdWordIsNotBelievedForLong") {
-  // The lender died at a high level, or the words that took it back were lost.
+  // The lender died while its queue was long, or its later reports were lost.
   ToldWaits told;
   told.note(Start, Primary, "a", Usual, std::chrono::hours(1));
   const Duration most = ToldOptions().MostBelieved;
-  // Whoever can't wait that long isn't sent there meanwhile.
+  // A statement that can't wait that long isn't sent there meanwhile.
   CHECK(told.left(Start, Primary, "a", Usual) == std::chrono::hours(1));
   CHECK(told.left(Start + most, Primary, "a", Usual) == Duration{});
   CHECK(told.isEmpty(Start + most, Primary));
--- a/src/overload/tests/WaitPolicyTest.cpp
+++ b/src/overload/tests/WaitPolicyTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file How long statements wait.
+/// \file Tests of how long statements may wait.
 
 #include "overload/WaitPolicy.h"
 
@@ -32,7 +32,8 @@
   facts.Objective = milliseconds(1200);
   facts.StatementTimeout = milliseconds(3000);
   CHECK(policy.limit(facts) == milliseconds(1500));
-  // Never refused while it could be on time, nor after its timeout.
+  // A statement isn't refused while it could be on time, and never waits beyond
+  // its timeout.
   facts.StatementTimeout = milliseconds(1500);
   CHECK(policy.limit(facts) == milliseconds(1200));
   facts.StatementTimeout = milliseconds(1000);
@@ -64,7 +65,7 @@
   CHECK(policy.onTime(facts, milliseconds(300)) == Duration{});
   CHECK(policy.late(facts, milliseconds(300)) == milliseconds(100));
   CHECK(policy.late(facts, milliseconds(500)) == Duration{});
-  // A lender isn't told the timeout.
+  // A lender doesn't receive the timeout.
   facts.StatementTimeout = Duration{};
   CHECK(policy.late(facts, milliseconds(300)) == milliseconds(180));
 }
--- a/src/overload/types/Urgency.h
+++ b/src/overload/types/Urgency.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The place of a waiting use among others, as far as it decides how long
-/// it waits.
+/// \file The rank of a waiting borrow among others, as far as it decides how
+/// long it waits.
 
 #ifndef STEPLEDGE_OVERLOAD_TYPES_URGENCY_H
 #define STEPLEDGE_OVERLOAD_TYPES_URGENCY_H
@@ -11,11 +11,12 @@
 
 namespace stepledge::overload {
 
-/// The less, the sooner it is served.
+/// A lower value is served sooner.
 struct Urgency {
-  /// It can't make its objective any more, and goes after those that can.
+  /// The borrow can no longer meet its objective, and goes after those that
+  /// can.
   bool IsLate = false;
-  /// Of its route; 0 is the most urgent.
+  /// The route's priority; 0 is the most urgent.
   int Priority = 0;
   auto operator<=>(const Urgency &) const = default;
 };
--- a/src/overload/types/WaitFacts.h
+++ b/src/overload/types/WaitFacts.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What is known of a statement that waits to be sent.
+/// \file The state of a statement that waits to be sent, from which its maximum
+/// wait follows.
 
 #ifndef STEPLEDGE_OVERLOAD_TYPES_WAITFACTS_H
 #define STEPLEDGE_OVERLOAD_TYPES_WAITFACTS_H
@@ -11,21 +12,23 @@
 namespace stepledge::overload {
 
 struct WaitFacts {
-  /// Of its route; 0 is the most urgent.
+  /// The route's priority; 0 is the most urgent.
   int Priority = 0;
   /// The route's latency objective.
   Duration Objective{};
-  /// The route's limit for one statement; 0 if it isn't known.
+  /// The route's time limit for one statement; 0 if it isn't known.
   Duration StatementTimeout{};
-  /// It belongs to a transaction that an instance has run a statement of.
+  /// The statement belongs to a transaction of which an instance has already
+  /// run a statement.
   bool IsUnderWay = false;
-  /// It needs a primary, and none is known or the known one is being replaced:
-  /// it waits for the successor, not for room.
+  /// The statement needs a primary, and none is known or the known one is being
+  /// replaced: it waits for the successor, not for capacity.
   bool AwaitsPrimary = false;
-  /// It is kept from an overloaded primary for the sake of other routes.
+  /// The statement is kept from an overloaded primary in favour of other
+  /// routes.
   bool IsShed = false;
-  /// This VM knows that it can't be sent from here for now: others may serve
-  /// the client sooner.
+  /// The statement can't be sent from this VM for now: other VMs may serve the
+  /// client sooner.
   bool IsHopeless = false;
 };
 
