--- a/src/scheduling/FairShares.cpp
+++ b/src/scheduling/FairShares.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-/// Of one use in the usual slot time: some tens of statements tell it.
+/// Weight of a new sample in the usual slot time: averages over some tens of
+/// statements.
 constexpr double SampleWeight = 0.05;
-/// How often accounts are looked through, so that a decision costs by who
-/// waits and not by who has an account.
+/// How often expired accounts are removed, so that the cost of a decision
+/// depends on the waiting organisations and not on the number of accounts.
 constexpr Duration ForgetInterval = std::chrono::seconds(1);
 
 } // namespace
--- a/src/scheduling/FairShares.h
+++ b/src/scheduling/FairShares.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file How much of one contested line each organisation has had of late, and
-/// where its next statement starts: start-time fair queueing.
+/// \file Start-time fair queueing: how much of one contested queue each
+/// organisation has used recently, and the start tag of its next statement.
 
 #ifndef STEPLEDGE_SCHEDULING_FAIRSHARES_H
 #define STEPLEDGE_SCHEDULING_FAIRSHARES_H
@@ -19,54 +19,56 @@
 
 struct ShareOptions {
   /// An organisation that has used nothing for this long starts like the
-  /// others: a longer memory would hold a flood against it that is over.
+  /// others: a longer memory would count a past flood against it.
   Duration Memory = std::chrono::seconds(5);
-  /// Where nobody has waited for so long, what is used is at nobody's expense.
-  /// A VM looks at what waits every 10 to 40 ms.
+  /// If no statement has waited for this long, usage is at no organisation's
+  /// expense. A VM checks its waiting statements every 10 to 40 ms.
   Duration IdleAfter = milliseconds(100);
-  /// One in so many services goes to the one that has waited longest and can
-  /// still be answered in time, so that no kind of statement starves; the
-  /// others can spare that room.
+  /// One in this many services goes to the statement that has waited longest
+  /// and can still be answered in time, so that no kind of statement starves;
+  /// the others can spare that capacity.
   std::uint64_t FloorInterval = 20;
-  /// So many statements may an average organisation be ahead of another whose
-  /// statements are less urgent; one of another weight by its root, since what
-  /// comes together by chance grows so.
+  /// How many statements an organisation of average weight may be over its fair
+  /// share and still go before less urgent statements of others. For another
+  /// weight it is scaled by the root of the weight, since random bursts grow
+  /// with the root of the rate.
   double Lead = 4;
 };
 
-/// Virtual time is slot time divided by the weight of its organisation. It
-/// stands where the least of those that wait starts, so that what was unused
-/// can't be saved up, and what nobody else wanted isn't held against anyone.
+/// Virtual time is slot time divided by the organisation's weight. It is set to
+/// the lowest start tag of the waiting organisations, so that unused capacity
+/// can't be saved up, and capacity that no other organisation wanted isn't
+/// counted against any.
 class FairShares {
 public:
   explicit FairShares(ShareOptions options = {}) : Options(options) {}
 
-  /// A statement or the opening of a connection for \p organisation has held a
-  /// slot for \p slotTime.
+  /// Records that a statement or the opening of a connection for
+  /// \p organisation has held a slot for \p slotTime.
   void noteUse(TimePoint now, const OrganisationId &organisation,
                Duration slotTime, double weight);
-  /// Who waits now.
+  /// Sets the organisations that have waiting statements now.
   void noteWaiting(TimePoint now, const std::set<OrganisationId> &waiting);
-  /// The virtual time at which its next statement starts, in microseconds; the
-  /// least goes first.
+  /// The start tag of the organisation's next statement: a virtual time in
+  /// microseconds. The lowest goes first.
   double startOf(const OrganisationId &organisation) const;
-  /// It has had so much more than another one that waits that urgency no longer
-  /// helps; \p start is of its next statement.
+  /// Whether an organisation is so far over its fair share that urgency no
+  /// longer helps; \p start is the start tag of its next statement.
   bool isAhead(double start, double weight) const {
     return start - VirtualTime >
            Options.Lead * UsualSlotTime / std::sqrt(weight);
   }
-  /// What one more statement adds to its start at the usual slot time.
+  /// What one more statement of the usual slot time adds to the start tag.
   double step(double weight) const { return UsualSlotTime / weight; }
   bool isFloorsTurn() const {
     return Services > 0 && Services % Options.FloorInterval == 0;
   }
-  /// Organisations that waited at the last look behind another that had had
-  /// less.
+  /// The number of organisations that waited at the last check behind another
+  /// that had used less.
   std::size_t heldBack(TimePoint now) const {
     return isIdle(now) ? 0 : HeldBack;
   }
-  /// Nothing that is kept still matters.
+  /// Whether the kept usage no longer matters.
   bool isOver(TimePoint now) const;
   std::size_t size() const { return Accounts.size(); }
 
--- a/src/scheduling/ServingLine.cpp
+++ b/src/scheduling/ServingLine.cpp
@@ -24,15 +24,16 @@
 struct Place {
   bool IsLate = false;
   bool IsAhead = false;
-  /// With what its organisation has had already.
+  /// The same for its organisation's usage alone, without the organisation's
+  /// other waiting statements.
   bool IsOwnerAhead = false;
   double Start = 0;
   std::size_t Index = 0;
 };
 
-/// Puts in front what the floor's turn is for: the one that has waited longest
-/// and isn't late, of those who aren't ahead if there is one. Else it would go
-/// to the backlog of who floods.
+/// Moves to the front the statement that has waited longest and isn't late, of
+/// an organisation within its fair share if there is one. Otherwise this turn
+/// would go to the backlog of an organisation that floods.
 void raiseOldest(std::vector<Place> &places,
                  const std::vector<WaitRank> &ranks) {
   const auto keyOf = [&](const Place &it) {
@@ -73,7 +74,7 @@
   const auto found = Lines.find(line);
   if (found != Lines.end())
     return found->second;
-  // NOTE: instances come and go.
+  // NOTE: instances come and go, so queues that no longer matter are dropped.
   std::erase_if(Lines, [&](const auto &it) { return it.second.isOver(now); });
   return Lines.emplace(line, FairShares(Options.Shares)).first->second;
 }
@@ -113,8 +114,9 @@
       start += shares.step(weight);
     }
   }
-  // NOTE: among those ahead the share alone decides, or the urgent ones of who
-  // is furthest ahead would go before all of who is so by chance.
+  // NOTE: over the fair share the usage alone decides; otherwise the urgent
+  // statements of the organisation that is furthest over would go before all
+  // statements of one that is over by chance.
   const auto keyOf = [&](const Place &it) {
     const auto &rank = ranks[it.Index];
     return std::tuple(it.IsLate, it.IsAhead, it.IsAhead ? 0 : rank.Priority,
--- a/src/scheduling/ServingLine.h
+++ b/src/scheduling/ServingLine.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file In which order waiting statements get a connection, at the VM that
-/// their clients asked and at one that lends.
+/// \file The order in which waiting statements get a connection, at the VM that
+/// their clients asked and at a lender.
 
 #ifndef STEPLEDGE_SCHEDULING_SERVINGLINE_H
 #define STEPLEDGE_SCHEDULING_SERVINGLINE_H
@@ -20,7 +20,7 @@
 namespace stepledge::scheduling {
 
 struct LineOptions {
-  /// Where statements have waited for longer, the line is overloaded: a good
+  /// A queue in which a statement has waited for longer is overloaded: a good
   /// part of the latency objectives, which are some 150 to 600 ms.
   Duration OverloadAge = milliseconds(100);
   ShareOptions Shares;
@@ -30,15 +30,16 @@
 public:
   explicit ServingLine(LineOptions options = {}) : Options(options) {}
 
-  /// From now on the organisations share each line by their rates, operations
-  /// a second and 0 for none; without any organisation nobody is told apart.
+  /// Sets the rates by which the organisations share each queue, in operations
+  /// per second and 0 for none; without any organisation all statements are
+  /// treated alike.
   void setRates(const std::map<OrganisationId, double> &rates);
-  /// A statement or the opening of a connection for \p organisation has held a
-  /// slot for \p slotTime.
+  /// Records that a statement or the opening of a connection for
+  /// \p organisation has held a slot for \p slotTime.
   void noteUse(TimePoint now, const LineId &line,
                const OrganisationId &organisation, Duration slotTime);
 
-  /// The keys of \p waiters, who are in the order of their arrival, with the
+  /// The keys of \p waiters, which are in the order of their arrival, with the
   /// one to serve first in front.
   template <typename Key>
   std::vector<Key> inOrder(TimePoint now, const LineId &line,
@@ -56,17 +57,18 @@
   }
 
   /// Indices into \p ranks, the one to serve first in front. First come, first
-  /// served; once somebody has waited too long, those that can still be
+  /// served; once a statement has waited too long, those that can still be
   /// answered in time go first, the tightest objectives before the others and
   /// the newest before the older: first come, first served would make all late.
   std::vector<std::size_t> order(TimePoint now,
                                  const std::vector<WaitRank> &ranks) const;
-  /// The same between organisations: what can still be answered in time goes
-  /// first, then the organisation that has had least for its weight; each
-  /// organisation's own statements are in the order above.
+  /// The same between organisations: statements that can still be answered in
+  /// time go first, then the organisation that has used least for its weight;
+  /// each organisation's own statements are in the order above.
   std::vector<std::size_t> fairOrder(TimePoint now, const LineId &line,
                                      const std::vector<WaitRank> &ranks);
-  /// Organisations that wait behind another that has had less, at any line.
+  /// The number of organisations that wait behind another that has used less,
+  /// in any queue.
   std::size_t heldBack(TimePoint now) const;
 
 private:
--- a/src/scheduling/ShareWeights.h
+++ b/src/scheduling/ShareWeights.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What part of a contested line each organisation is due: by its
+/// \file The share of a contested queue that each organisation is due, by its
 /// configured rate.
 
 #ifndef STEPLEDGE_SCHEDULING_SHAREWEIGHTS_H
@@ -16,11 +16,10 @@
 class ShareWeights {
 public:
   ShareWeights() = default;
-  /// Operations a second by organisation; 0 where none is configured.
+  /// Takes operations per second by organisation; 0 where none is configured.
   explicit ShareWeights(const std::map<OrganisationId, double> &rates);
 
-  /// 1 on the average; without a rate of its own an organisation is an average
-  /// one.
+  /// The weight, 1 on average; an organisation without a rate has weight 1.
   double of(const OrganisationId &organisation) const;
 
 private:
--- a/src/scheduling/tests/FairServingLoadTest.cpp
+++ b/src/scheduling/tests/FairServingLoadTest.cpp
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The load of a contested instance: one organisation floods beside a
-/// burst of one kind of request, and what the callers get.
+/// \file Load tests of a contested instance: one organisation floods during a
+/// burst of one kind of request, and the callers of the others are to be
+/// answered in time.
 
 #include "scheduling/tests/OtherOrders.h"
 
@@ -20,9 +21,10 @@
 namespace {
 
 constexpr std::uint64_t Seeds = 10;
-/// Statements a second that one slot runs.
+/// Statements per second that one slot runs.
 constexpr double SlotRate = 250;
-/// Of the slots, in the usual load while primaries carry the reads.
+/// The fraction of the slots in use under the usual load while primaries serve
+/// the reads.
 constexpr double UsualPart = 0.6;
 constexpr int LargeOnes = 5;
 constexpr double LargeWeight = 8;
@@ -35,7 +37,7 @@
 constexpr Kind Kinds[] = {{0, milliseconds(150), 0.3},
                           {1, milliseconds(300), 0.4},
                           {2, milliseconds(600), 0.3}};
-/// The kind that comes in a burst.
+/// The priority of the kind that arrives in a burst.
 constexpr int BurstPriority = 1;
 
 OrganisationId nameOf(int i) { return OrganisationId(std::to_string(i)); }
@@ -76,10 +78,10 @@
   return demands;
 }
 
-/// One at five times its usual rate beside a burst: all others want less than
-/// their share of the slots.
+/// One organisation at five times its usual rate during a burst: all others
+/// want less than their share of the slots.
 constexpr Load Contested{2, UsualPart, 5, 2.2};
-/// What the quotas let through of it, with more reads at the primary.
+/// The part of that load that the quotas admit, with more reads at the primary.
 constexpr Load WithinQuotas{2, 0.75, 1.6, 2.5};
 
 template <typename Order>
@@ -103,8 +105,8 @@
   return sum;
 }
 
-/// The least part that one of the organisations within their share had answered
-/// in time.
+/// The lowest fraction answered in time among the organisations within their
+/// share.
 double leastInTime(const Outcome &outcome) {
   double least = 1;
   for (const auto &[id, it] : outcome.Organisations)
@@ -165,7 +167,7 @@
 }
 
 TEST_CASE("FairServing_TheSameAmongAThousand") {
-  // NOTE: too few statements of each for a percentile of its own. The large
+  // NOTE: each has too few statements for a percentile of its own. The large
   // ones have the same part of all as among 75.
   const auto rates = ratesOf(1000, LargeWeight * 1000 / 75);
   const auto outcome = playAll<LineOrder>(rates, rates, Contested, 2);
--- a/src/scheduling/tests/FairServingTest.cpp
+++ b/src/scheduling/tests/FairServingTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What holds of the order between organisations, whoever waits; and that
-/// without organisations nothing is changed.
+/// \file Properties of the order between organisations for random waiting
+/// statements, and the unchanged order without organisations.
 
 #include "scheduling/ServingLine.h"
 
@@ -36,7 +36,7 @@
   return ranks;
 }
 
-/// The order that there was before organisations were told apart.
+/// The order from before statements were scheduled by organisation.
 std::vector<std::size_t> earlierOrder(const std::vector<WaitRank> &ranks) {
   const bool isOverloaded =
       std::any_of(ranks.begin(), ranks.end(), [](const auto &it) {
@@ -96,7 +96,7 @@
 TEST_CASE("FairServing_NobodysMoreUrgentOneWaitsForALessUrgentOneOfItsOwn") {
   std::mt19937_64 random(2);
   for (int n = 0; n < 2000; ++n) {
-    // A use more or less makes it the floor's turn or not.
+    // One use more or less decides whether the oldest statement goes first.
     LineOptions options;
     options.Shares.FloorInterval = 1 + random() % 4;
     ServingLine line(options);
@@ -105,8 +105,8 @@
     const auto ranks = randomRanks(random);
     auto order = line.fairOrder(Now, Line, ranks);
     REQUIRE(order.size() == ranks.size());
-    // The first may be there by the floor's turn: the oldest of its
-    // organisation that isn't late.
+    // The first statement may be there because the oldest goes first: then it
+    // is the oldest of its organisation that isn't late.
     const auto &first = ranks[order.front()];
     const auto oldest =
         std::find_if(ranks.begin(), ranks.end(), [&](const auto &it) {
@@ -163,7 +163,8 @@
     shares.noteWaiting(at, {OrganisationId("waits")});
     shares.noteUse(at, OrganisationId(std::to_string(i)), milliseconds(4), 1);
   }
-  // Of five seconds, and the second until they are looked through.
+  // The accounts of five seconds, and of the second until expired ones are
+  // removed.
   CHECK(shares.size() <= 601);
   CHECK(!shares.isOver(Now + milliseconds(50000)));
   CHECK(shares.isOver(Now + milliseconds(60000)));
--- a/src/scheduling/tests/FakeInstance.cpp
+++ b/src/scheduling/tests/FakeInstance.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A statement that has waited for so long is refused.
+/// A statement that has waited for this long is refused.
 constexpr Duration Patience = milliseconds(700);
 constexpr Duration LeastWork = milliseconds(2);
 constexpr Duration MostWork = milliseconds(6);
@@ -32,8 +32,8 @@
   const TimePoint start(std::chrono::seconds(10));
   std::vector<WaitRank> all;
   for (const auto &it : demands) {
-    // NOTE: one in each period, so that who keeps to its share does so at any
-    // time and not on the average only.
+    // NOTE: one statement per period, so that an organisation that keeps to its
+    // share does so at any time and not only on average.
     const double period = 1e6 / it.PerSecond;
     std::uniform_real_distribution<double> within(0, period);
     const auto length = static_cast<double>(time.count());
--- a/src/scheduling/tests/FakeInstance.h
+++ b/src/scheduling/tests/FakeInstance.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file An instance with some slots before which statements wait, in simulated
-/// time.
+/// \file A simulated instance with a number of slots and a queue of statements
+/// that wait for them.
 
 #ifndef STEPLEDGE_SCHEDULING_TESTS_FAKEINSTANCE_H
 #define STEPLEDGE_SCHEDULING_TESTS_FAKEINSTANCE_H
@@ -15,11 +15,11 @@
 
 namespace stepledge::scheduling::tests {
 
-/// An order of service that is tried.
+/// An order of service under test.
 class IOrder {
 public:
   virtual ~IOrder() = default;
-  /// The index of the one to serve next.
+  /// The index of the statement to serve next.
   virtual std::size_t pick(TimePoint now,
                            const std::vector<WaitRank> &ranks) = 0;
   virtual void noteUse(TimePoint now, const OrganisationId &organisation,
@@ -33,7 +33,7 @@
   double PerSecond = 0;
 };
 
-/// What one organisation got.
+/// What one organisation or priority requested and received.
 struct Served {
   int Asked = 0;
   int InTime = 0;
@@ -43,8 +43,8 @@
 struct Outcome {
   std::map<OrganisationId, Served> Organisations;
   std::map<int, Served> Priorities;
-  /// The part of what was asked that was answered in time, each priority
-  /// counting for half of the next more urgent one.
+  /// The fraction of the requests that were answered in time, where each
+  /// priority counts for half of the next more urgent one.
   double worth() const;
 };
 
--- a/src/scheduling/tests/OtherOrders.cpp
+++ b/src/scheduling/tests/OtherOrders.cpp
@@ -73,7 +73,8 @@
       Turns.push_back(it);
       Credit[it] = std::min(Credit[it], 0.0);
     }
-  // One usual statement of an average organisation.
+  // The slot time, in microseconds, of one usual statement of an average
+  // organisation.
   constexpr double Quantum = 4000;
   while (Credit[Turns.front()] <= 0) {
     Credit[Turns.front()] += Quantum * Weights.of(Turns.front());
--- a/src/scheduling/tests/OtherOrders.h
+++ b/src/scheduling/tests/OtherOrders.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Orders that were weighed against the one that is used, and the one
-/// that is used without organisations.
+/// \file Alternatives to the order of service that the product uses, for
+/// comparison, and the product's order, with or without organisations.
 
 #ifndef STEPLEDGE_SCHEDULING_TESTS_OTHERORDERS_H
 #define STEPLEDGE_SCHEDULING_TESTS_OTHERORDERS_H
@@ -16,7 +16,8 @@
 
 using Rates = std::map<OrganisationId, double>;
 
-/// What the product does; without rates nobody is told apart.
+/// The order that the product uses; without rates all organisations are treated
+/// alike.
 class LineOrder : public IOrder {
 public:
   explicit LineOrder(const Rates &rates) { Line.setRates(rates); }
@@ -28,7 +29,7 @@
   ServingLine Line;
 };
 
-/// Start-time fair queueing among the most urgent that are waiting.
+/// Start-time fair queueing among the most urgent waiting statements.
 class PriorityFirst : public IOrder {
 public:
   explicit PriorityFirst(const Rates &rates) : Weights(rates) {}
@@ -41,7 +42,8 @@
   FairShares Shares;
 };
 
-/// Organisations take turns; in each turn one has a quantum of slot time more.
+/// Organisations take turns; each turn adds a quantum of slot time to the
+/// organisation's credit.
 class DeficitRoundRobin : public IOrder {
 public:
   explicit DeficitRoundRobin(const Rates &rates) : Weights(rates) {}
--- a/src/scheduling/tests/ServingLineTest.cpp
+++ b/src/scheduling/tests/ServingLineTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The order of waiting statements.
+/// \file Tests of the order of waiting statements.
 
 #include "scheduling/ServingLine.h"
 
--- a/src/scheduling/types/LineId.h
+++ b/src/scheduling/types/LineId.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Names one line of waiting statements.
+/// \file Identifies one queue of waiting statements.
 
 #ifndef STEPLEDGE_SCHEDULING_TYPES_LINEID_H
 #define STEPLEDGE_SCHEDULING_TYPES_LINEID_H
@@ -15,8 +15,9 @@
 
 struct LineId {
   std::string Service;
-  /// At a VM that lends connections to it; empty for the statements of a VM's
-  /// own clients, which wait for any instance of the service.
+  /// The instance, at a VM that lends connections to it; empty for the
+  /// statements of a VM's own clients, which wait for any instance of the
+  /// service.
   InstanceId Instance;
 
   auto operator<=>(const LineId &) const = default;
--- a/src/scheduling/types/WaitRank.h
+++ b/src/scheduling/types/WaitRank.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What decides a waiting statement's place.
+/// \file The properties that decide a waiting statement's place in its queue.
 
 #ifndef STEPLEDGE_SCHEDULING_TYPES_WAITRANK_H
 #define STEPLEDGE_SCHEDULING_TYPES_WAITRANK_H
@@ -12,16 +12,17 @@
 namespace stepledge::scheduling {
 
 struct WaitRank {
-  /// Of its route; 0 is the most urgent.
+  /// The route's priority; 0 is the most urgent.
   int Priority = 0;
-  /// The route's latency objective; 0 for a question of the proxy's own.
+  /// The route's latency objective; 0 for a query that the proxy itself sends.
   Duration Objective{};
-  /// At the VM that its client asked.
+  /// When the statement arrived at the VM that its client asked.
   TimePoint ArrivedAt{};
-  /// Whose statement it is; empty where there are no organisations.
+  /// The organisation of the statement; empty where there are no organisations.
   OrganisationId Organisation;
 
-  /// A question never is: reads wait for its answer, and it takes no slot.
+  /// Whether the objective has passed. A query that the proxy itself sends is
+  /// never late: reads wait for its answer, and it takes no slot.
   bool isLate(TimePoint now) const {
     return Objective > Duration{} && now - ArrivedAt > Objective;
   }
