--- a/src/balancing/OutlierDetector.cpp
+++ b/src/balancing/OutlierDetector.cpp
@@ -82,7 +82,7 @@
   if (!standsOut(now, id, sight))
     return std::min(1.0, sight.Weight + time / static_cast<double>(
                                                    Options.ReturnTime.count()));
-  // NOTE: one that is slow loses its share by its answers alone, since a single
+  // NOTE: a slow instance loses its share only by its answers, since a single
   // long statement looks the same.
   if (!standsOutByFailures(now, id, sight, true))
     return sight.Weight;
@@ -134,8 +134,8 @@
   auto &it = Sights[id];
   const auto judged = judge(now, it);
   const double sample = std::min(slowness, Options.MostSlowness);
-  // NOTE: an instance that fails at once isn't fast: a failure says nothing of
-  // the time that work takes.
+  // NOTE: an instance that fails at once isn't fast: a failure doesn't show how
+  // long the work takes.
   const double slowWeight = failed ? 0.0 : Options.SlownessWeight;
   it.Slowness = judged.Slowness + (sample - judged.Slowness) * slowWeight;
   const double failureWeight =
--- a/src/balancing/OutlierDetector.h
+++ b/src/balancing/OutlierDetector.h
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which of the instances that may run the same reads answers them worse
-/// than its siblings, as one VM sees it, and what share of them it keeps.
+/// \file Detects which of the instances that may run the same reads answer them
+/// worse than their siblings, as observed by one VM, and reduces their share of
+/// the reads.
 
 #ifndef STEPLEDGE_BALANCING_OUTLIERDETECTOR_H
 #define STEPLEDGE_BALANCING_OUTLIERDETECTOR_H
@@ -18,25 +19,28 @@
 public:
   explicit OutlierDetector(OutlierOptions options = {}) : Options(options) {}
 
-  /// The instance may run reads from now on; nothing changes if it was known.
+  /// Adds an instance that may run reads from now on; does nothing if it is
+  /// known.
   void add(const InstanceId &id);
   void remove(const InstanceId &id);
 
-  /// It ran a read in \p slowness times the usual time of such reads, or a
-  /// read was moved on that had no answer for so long.
+  /// Records a read that took \p slowness times the usual time of such reads,
+  /// or that was moved to another instance after so long without an answer.
   void noteAnswer(TimePoint now, const InstanceId &id, double slowness);
-  /// A read failed there, was refused or got no answer at all.
+  /// Records a read that failed there, was refused or got no answer at all.
   void noteFailure(TimePoint now, const InstanceId &id);
 
   /// The share of its usual reads that the instance gets, from LeastWeight
   /// to 1.
   double weight(const InstanceId &id) const;
-  /// It is held back, and its siblings answer in clearly less time.
+  /// Whether the instance has a reduced share and its siblings answer in
+  /// clearly less time.
   bool isSlow(TimePoint now, const InstanceId &id) const;
-  /// How many have lost most of their reads and not got all of them back.
+  /// The number of instances that have lost most of their reads and not got all
+  /// of them back.
   int heldBack() const;
-  /// Gives and takes shares as time passes, and tells who is held back or has
-  /// returned since the last call.
+  /// Updates the shares as time passes, and returns the instances that have
+  /// become outliers or recovered since the last call.
   std::vector<OutlierChange> review(TimePoint now);
 
 private:
@@ -44,14 +48,15 @@
     double Slowness = 1.0;
     double FailureRate = 0.0;
     int Samples = 0;
-    /// Of all samples, those that still count, by their age.
+    /// The number of samples, each weighted by its age.
     double Fresh = 0.0;
     TimePoint SampledAt{};
     double Weight = 1.0;
-    /// It was told as held back, and not as returned since.
+    /// Whether the instance was returned as an outlier, and not as recovered
+    /// since.
     bool IsTold = false;
   };
-  /// A sight with its age taken into account.
+  /// An observation discounted by its age.
   struct Judged {
     double Slowness = 1.0;
     double FailureRate = 0.0;
@@ -59,7 +64,7 @@
   };
 
   Judged judge(TimePoint now, const Sight &sight) const;
-  /// The median of all but \p id.
+  /// The median over all instances except \p id.
   Judged siblings(TimePoint now, const InstanceId &id) const;
   bool standsOutBySlowness(TimePoint now, const InstanceId &id,
                            const Sight &sight, bool isHeld) const;
@@ -70,8 +75,8 @@
   double weightAfter(TimePoint now, Duration passed, const InstanceId &id,
                      const Sight &sight) const;
   void note(TimePoint now, const InstanceId &id, double slowness, bool failed);
-  /// Another one may be held back, now or in the place of one that no longer
-  /// stands out.
+  /// Whether one more instance may get a reduced share. If as many as allowed
+  /// have one, this restores the share of one that is no longer an outlier.
   bool makeRoom(TimePoint now, const InstanceId &id);
 
   OutlierOptions Options;
--- a/src/balancing/tests/OutlierDetectorTest.cpp
+++ b/src/balancing/tests/OutlierDetectorTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which instances are held back, and how they return.
+/// \file Tests of which instances become outliers, and how they recover.
 
 #include "balancing/OutlierDetector.h"
 
@@ -73,8 +73,8 @@
 TEST_CASE("OutlierDetector_ReadsReturnByDegrees") {
   Group it;
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
-  // Good answers first take it from those that stand out, then time returns
-  // its reads.
+  // After enough good answers it is no longer an outlier, then its reads return
+  // with time.
   it.answer(milliseconds(1500), 1.0, 1.0, 1.0);
   CHECK(it.Detector.weight(it.A) > 0.3);
   CHECK(it.Detector.weight(it.A) < 0.7);
@@ -174,7 +174,8 @@
   CHECK(detector.weight(a) == 1.0);
 }
 
-// Where few reads are asked, those of some seconds ago outweighed a failure.
+// With few reads per second, answers that were some seconds old outweighed a
+// failure.
 TEST_CASE("OutlierDetector_FewAnswersTellOfAFailingInstance") {
   Group it;
   const auto askEach = [&it](Duration pause, int times) {
@@ -190,7 +191,7 @@
   CHECK(it.Detector.weight(it.A) < 1.0);
   it.rest(milliseconds(1000));
   CHECK(it.Detector.weight(it.A) < 0.05);
-  // Nothing more is heard of it, so it is tried again.
+  // No more answers arrive from it, so it is tried again.
   it.rest(milliseconds(9000));
   CHECK(it.isWhole());
 }
--- a/src/balancing/types/OutlierOptions.h
+++ b/src/balancing/types/OutlierOptions.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file When an instance stands out among its siblings, and what that costs
-/// it.
+/// \file When an instance is an outlier among its siblings, and how its share
+/// of the reads is reduced.
 
 #ifndef STEPLEDGE_BALANCING_TYPES_OUTLIEROPTIONS_H
 #define STEPLEDGE_BALANCING_TYPES_OUTLIEROPTIONS_H
@@ -13,58 +13,61 @@
 namespace stepledge::balancing {
 
 struct OutlierOptions {
-  /// Weight of a new sample in the smoothed slowness: some ten answers tell a
-  /// slow instance from a long statement, within the objective of the next.
+  /// Weight of a new sample in the smoothed slowness: some ten answers
+  /// distinguish a slow instance from a long statement, within the objective of
+  /// the next.
   double SlownessWeight = 0.2;
-  /// The same for failures, which are rarer and say yes or no only; more where
-  /// fewer answers of late count, so that a VM with some reads a second learns
-  /// from one or two failures.
+  /// The same for failures, which are rarer and only yes or no. It is higher
+  /// where few recent answers count, so that a VM with some reads per second
+  /// needs only one or two failures.
   double FailureWeight = 0.1;
-  /// A single answer counts as this many times the usual at most, so that one
-  /// long statement doesn't make an instance slow.
+  /// Caps a single answer at this multiple of the usual time, so that one long
+  /// statement doesn't make an instance slow.
   double MostSlowness = 10.0;
-  /// An instance stands out from this many times its siblings' slowness on.
+  /// An instance is an outlier above this multiple of its siblings' slowness.
   /// Statements of one route differ by up to twice among themselves.
   double SlowFrom = 2.5;
-  /// One that is held back stands out until it is below this.
+  /// It stays an outlier until it is below this multiple.
   double SlowUntil = 1.5;
-  /// It stands out if this much more of its reads fail than of its siblings'.
-  /// Two failures in a row reach it, one doesn't: a client's own error isn't
-  /// enough.
+  /// An instance is an outlier if this much more of its reads fail than of its
+  /// siblings'. Two failures in a row reach it, one doesn't: a client's own
+  /// error isn't enough.
   double FailingFrom = 0.15;
-  /// One that is held back stands out until it is below this.
+  /// It stays an outlier until it is below this difference.
   double FailingUntil = 0.05;
-  /// Fewer answers than this say nothing yet.
+  /// Number of answers below which an instance is never an outlier.
   int LeastSamples = 5;
-  /// What was seen counts half after this time without an answer, so that an
-  /// instance that nobody asks is tried again.
+  /// Observations count half after this time without an answer, so that an
+  /// instance that gets no reads is tried again.
   Duration HalfLife = milliseconds(2000);
-  /// The least share of the reads that an instance keeps: these are the probes,
-  /// real reads that may have to be sent again, so half of what second tries
-  /// may be of all reads, one in twenty.
+  /// The minimum share of the reads that an instance keeps: these are the
+  /// probes, real reads that may have to be sent again, so the share is half of
+  /// what retries may be of all reads, one in twenty.
   double LeastWeight = 0.025;
-  /// A bad answer of an instance that stands out takes this part of its weight.
+  /// Factor by which each bad answer of an outlier reduces its weight.
   double Backoff = 0.5;
-  /// The weight of one that stands out by failures also halves in this time
-  /// without any answer: a VM that asks it seldom has lost most of its failing
-  /// reads to it within half a second, as one that asks it often.
+  /// The weight of a failing outlier also halves in this time without any
+  /// answer: a VM that sends it few reads stops sending it most of them within
+  /// half a second, as a VM that sends it many does.
   Duration FailingHalfTime = milliseconds(125);
-  /// From no weight back to the whole one: each VM gives more by degrees, so
-  /// that an instance that has just recovered isn't filled at once.
+  /// Time from zero to full weight: each VM raises the share gradually, so that
+  /// an instance that has just recovered isn't saturated at once.
   Duration ReturnTime = milliseconds(3000);
-  /// Of a group, one in so many may be held back; one at least where there are
-  /// two. The others must have the room for its reads.
+  /// One in this many instances of a group may have a reduced share, and at
+  /// least one where there are two. The others must have the capacity for its
+  /// reads.
   int GroupPerHeld = 3;
 };
 
-/// An instance has lost most of its reads, or has all of them again.
+/// An instance has lost most of its reads, or has got all of them back.
 struct OutlierChange {
   InstanceId Instance;
   bool IsHeldBack = false;
-  /// In times of the usual work, and the siblings' median of the same.
+  /// As multiples of the usual time: the instance's own, and the median of its
+  /// siblings.
   double Slowness = 1.0;
   double SiblingSlowness = 1.0;
-  /// The part of the reads that failed.
+  /// The fraction of the reads that failed.
   double FailureRate = 0.0;
   double SiblingFailureRate = 0.0;
 };
