--- a/src/quota/IQuotaIo.h
+++ b/src/quota/IQuotaIo.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What the VMs say to each other about quotas.
+/// \file The messages about quotas that VMs exchange.
 
 #ifndef STEPLEDGE_QUOTA_IQUOTAIO_H
 #define STEPLEDGE_QUOTA_IQUOTAIO_H
@@ -16,21 +16,22 @@
 
 /// Asks a home to lend operations.
 struct QuotaAsk {
-  /// The asker's number for it, echoed by the grant.
+  /// The asker's number of this ask, echoed by the grant.
   std::uint64_t Number = 0;
   OrganisationId Organisation;
   int Operations = 1;
-  /// From the home of another hall, which has used its part up.
+  /// Whether the ask comes from the home of another hall, which has used its
+  /// part up.
   bool IsFromOtherHall = false;
-  /// Of the route that asks; more urgent requests may use the operations too. 0
-  /// is the most urgent.
+  /// The priority of the route that asks; more urgent requests may use the
+  /// operations too. 0 is the most urgent.
   int Priority = 0;
 };
 
 enum class GrantResult : std::uint8_t {
-  /// So many operations as it says, at least one.
+  /// The home lends the number of operations in the grant, at least one.
   Lent,
-  /// Not known yet.
+  /// The home can't answer yet.
   Unknown,
   /// The organisation's quota is used up.
   Exhausted,
@@ -43,7 +44,7 @@
   OrganisationId Organisation;
   GrantResult Result = GrantResult::Unknown;
   int Operations = 0;
-  /// When there is something again, for an exhausted quota.
+  /// When an operation is available again, for an exhausted quota.
   Duration RetryAfter{};
 };
 
@@ -51,10 +52,11 @@
 public:
   virtual ~IQuotaIo() = default;
 
-  /// False where the home isn't connected; it is being connected to then.
+  /// Returns false if the home isn't connected; a connection is then being
+  /// opened.
   virtual bool askHome(const std::string &ip, const QuotaAsk &ask) = 0;
   virtual void answerAsker(const std::string &ip, const QuotaGrant &grant) = 0;
-  /// Operations of \p organisation that wait may be granted or refused now.
+  /// Waiting operations of \p organisation may be granted or refused now.
   virtual void quotaChanged(const OrganisationId &organisation) = 0;
 };
 
--- a/src/quota/PriorityUse.cpp
+++ b/src/quota/PriorityUse.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A shorter time than this says little of a rate.
+/// The shortest time over which a rate is meaningful.
 constexpr Duration LeastCounted = milliseconds(200);
 
 double secondsOf(Duration time) {
--- a/src/quota/PriorityUse.h
+++ b/src/quota/PriorityUse.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Operations a second of one organisation by priority, smoothed.
+/// \file Smoothed rates of one organisation's operations, by priority.
 
 #ifndef STEPLEDGE_QUOTA_PRIORITYUSE_H
 #define STEPLEDGE_QUOTA_PRIORITYUSE_H
@@ -15,17 +15,18 @@
 
 class PriorityUse {
 public:
-  /// What was used \p smoothing ago counts for about a third.
+  /// Operations of \p smoothing ago count for about a third.
   explicit PriorityUse(Duration smoothing) : Smoothing(smoothing) {}
 
   void note(TimePoint now, int priority, double operations = 1);
   double perSecond(TimePoint now, int priority) const;
-  /// As it was when it was last noted.
+  /// The rate at the last recorded operation.
   double lastPerSecond(int priority) const;
-  /// Of all priorities up to and with \p last, the least urgent of them.
+  /// The rate of all priorities up to and including \p last, the least urgent
+  /// of them.
   double upTo(TimePoint now, int last) const;
   double total(TimePoint now) const;
-  /// The time that the counts stand for: less than the smoothing where nothing
+  /// The time that the counts cover: less than the smoothing time if nothing
   /// was counted before, as after a start.
   double countedSeconds(TimePoint now) const;
 
--- a/src/quota/QuotaHomes.h
+++ b/src/quota/QuotaHomes.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which VM of a hall keeps an organisation's quota there.
+/// \file Chooses the VM of a hall that keeps an organisation's quota there.
 
 #ifndef STEPLEDGE_QUOTA_QUOTAHOMES_H
 #define STEPLEDGE_QUOTA_QUOTAHOMES_H
--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -13,34 +13,35 @@
 
 namespace {
 
-/// The part of the operator's tolerance that is used. The rest covers leases
-/// that are used up to their end, and a home that takes over.
+/// The fraction of the operator's tolerance that is used. The rest covers
+/// leases that are used up to their end, and a home that takes over.
 constexpr double TolerancePart = 0.5;
-/// A home that takes over begins with one operation and this much of a second.
+/// A home that takes over begins with one operation plus its part's rate over
+/// this many seconds.
 constexpr double FirstSeconds = 0.1;
-/// A home keeps this much of a second of its hall's own use when another hall
-/// asks.
+/// When another hall asks, a home keeps its part's rate over this many seconds
+/// for its own hall.
 constexpr double ReserveSeconds = 0.3;
-/// A home asks another hall for this much of a second of its own part at once,
-/// since the way there is longer and its whole hall waits.
+/// A home asks another hall at once for its own part's rate over this many
+/// seconds, since the round trip is longer and its whole hall waits.
 constexpr double FarAskSeconds = 0.25;
-/// A home that is asked for too much keeps for the more urgent requests what
-/// they may use beyond their mean within so many seconds, as long as a lease
-/// lives: the mean itself comes with the refill.
+/// While demand exceeds the rate, a home reserves for the more urgent requests
+/// what they may use beyond their mean within this many seconds, the lifetime
+/// of a lease: the refill covers the mean itself.
 constexpr double KeptSeconds = 1;
-/// Chance rarely goes beyond so many standard deviations. Kept are more, since
-/// VMs ask for several operations at once.
+/// Random variation rarely exceeds this many standard deviations. The reserve
+/// covers more, since VMs ask for several operations at once.
 constexpr double ChanceDeviations = 2;
 constexpr double KeptDeviations = 3;
-/// A part that begins with next to nothing is full after about so long at the
-/// usual use.
+/// A part that begins almost empty is full after about this time at the usual
+/// use.
 constexpr Duration FillTime = milliseconds(3000);
-/// At most this part of what a hall's part can hold is kept, so that a small
-/// burst leaves room for the less urgent ones too.
+/// The maximum fraction of a hall's part that is reserved, so that a small
+/// burst leaves operations for the less urgent requests too.
 constexpr double MostKeptPart = 0.5;
-/// What is asked of a home is smoothed over this time: an organisation that
-/// goes beyond its rate for a moment only is within its burst, and all its
-/// requests are treated alike.
+/// The smoothing time of the demand on a home: an organisation that exceeds its
+/// rate only for a moment is within its burst, and all its requests are treated
+/// alike.
 constexpr Duration DemandTime = milliseconds(3000);
 
 } // namespace
@@ -155,13 +156,13 @@
 }
 
 bool QuotaLedger::isOverAsked(TimePoint now, const Account &account) {
-  // NOTE: a part that has just begun would only fill what is kept, while
-  // clients come back with all that they held.
+  // NOTE: a part that has just begun would only fill its reserve, while clients
+  // return with all the requests that they held back.
   if (now - account.PartSince < FillTime)
     return false;
   const double rate = account.HallLimit.TokensPerSecond;
-  // NOTE: chance alone makes a use of just the rate look like more, the more so
-  // the shorter it was counted.
+  // NOTE: random variation alone makes a demand of just the rate look higher,
+  // the more so the shorter it was counted.
   const double counted = account.HallDemand.countedSeconds(now);
   const double most = rate + ChanceDeviations * std::sqrt(rate / (2 * counted));
   return account.HallDemand.total(now) + account.FarDemand.total(now) > most;
@@ -183,13 +184,13 @@
 double QuotaLedger::keptFromOthers(TimePoint now, const Account &account,
                                    int priority) {
   const double reserve = account.HallLimit.TokensPerSecond * ReserveSeconds;
-  // NOTE: a hall that asks others has used its own part up.
+  // NOTE: a hall that asks others has used up its own part.
   if (!isOverAsked(now, account))
     return std::clamp(
         reserve + keptFor(account, account.FarDemand.upTo(now, priority - 1)),
         reserve, std::max(reserve, account.HallLimit.Capacity * MostKeptPart));
-  // NOTE: more urgent ones of another hall go before less urgent ones of the
-  // own.
+  // NOTE: more urgent requests of another hall go before less urgent ones of
+  // this hall.
   const double all = account.HallDemand.total(now);
   const double share =
       all > 0 ? account.HallDemand.upTo(now, priority) / all : 1;
@@ -198,7 +199,7 @@
 
 TokenBucket &QuotaLedger::partOf(TimePoint now, Account &account) {
   const auto &limit = account.HallLimit;
-  // NOTE: what the home before it has given out is not known here.
+  // NOTE: it isn't known here what the previous home has lent.
   if (!account.Part) {
     account.Part.emplace(now, 1 + FirstSeconds * limit.TokensPerSecond);
     account.PartSince = now;
@@ -244,7 +245,7 @@
     return askOtherHall(now, organisation, account, priority, operations);
   if (home)
     sendAsk(now, *home, want, {0, organisation, operations, false, priority});
-  // NOTE: without any home the operation waits until its own limit.
+  // NOTE: without any home the operation waits until its own time limit.
   return true;
 }
 
@@ -253,8 +254,8 @@
                                Account &account, int priority, int operations) {
   auto &want = account.Wants[priority];
   auto halls = Homes.halls();
-  // NOTE: in turn, since one that always has a little would keep the others
-  // from being asked.
+  // NOTE: the halls are asked in turn, since one that always has a few
+  // operations would keep the others from being asked.
   std::rotate(halls.begin(),
               std::upper_bound(halls.begin(), halls.end(), want.LastHall),
               halls.end());
@@ -306,7 +307,8 @@
 }
 
 int QuotaLedger::surelyUsed(int operations) const {
-  // What is asked ahead says how much the asker uses within a lease's life.
+  // The operations asked for ahead are the asker's expected use within
+  // Forecast, from which its use within the lifetime of a lease follows.
   const std::chrono::duration<double> life = Options.LeaseTime;
   const std::chrono::duration<double> ahead = Options.Forecast;
   const double used = (operations - 1) * life.count() / ahead.count();
@@ -315,14 +317,15 @@
 }
 
 int QuotaLedger::giveTo(TimePoint now, const QuotaAsk &ask, Account &account) {
-  // NOTE: whatever a VM of another version asks, it can't add to the part.
+  // NOTE: the number may come from a VM of another version, and must never add
+  // to the part.
   const int most = std::max(1, ask.Operations);
   if (!ask.IsFromOtherHall)
     return takeLocal(now, ask.Organisation, account, ask.Priority,
                      isOverAsked(now, account) ? surelyUsed(most) : most);
   if (!isHome(now, ask.Organisation))
     return 0;
-  // NOTE: what other halls have lent goes to nobody else.
+  // NOTE: operations that other halls have lent aren't lent to a third hall.
   return partOf(now, account)
       .take(most, keptFromOthers(now, account, ask.Priority));
 }
@@ -366,8 +369,8 @@
 
 void QuotaLedger::addLease(Account &account, int priority, int operations,
                            TimePoint askedAt) {
-  // NOTE: counted from the question, so that an answer that waited while this
-  // VM stood still is worth nothing.
+  // NOTE: counted from the ask, so that a grant that waited while this VM was
+  // paused is void.
   const Lease lease{std::max(0, operations), askedAt + Options.LeaseTime,
                     priority, askedAt + Options.Forecast};
   const auto place =
--- a/src/quota/QuotaLedger.h
+++ b/src/quota/QuotaLedger.h
@@ -1,18 +1,18 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The operations that organisations may have run, counted over all VMs.
+/// \file Counts the operations that organisations may run, over all VMs.
 ///
-/// Each hall has its fixed part of a quota, kept by one of its VMs, the home;
-/// the others borrow from it for a short time and by need. A hall that has used
-/// its part up borrows from those that have some left. So the sum over all VMs
-/// holds whatever is cut off, starts again or holds another list: no two homes
-/// ever give out the same part, but in the moment in which one is taken for
-/// gone, and then a new one begins with next to nothing.
+/// Each hall has a fixed part of a quota, kept by one of its VMs, the home; the
+/// other VMs borrow operations from it for a short time and as needed. A hall
+/// that has used its part up borrows from halls that have some left. So the sum
+/// over all VMs holds if VMs are partitioned, restart or have different VM
+/// lists: no two homes lend the same part, except at the moment at which one is
+/// taken for gone, and then the new one begins with almost nothing.
 ///
-/// While an organisation asks for more than its rate, a home keeps what its
-/// more urgent requests have used lately from the less urgent ones, of all VMs
-/// and halls that ask it; what isn't used is lent to whoever asks.
+/// While an organisation asks for more than its rate, a home reserves what its
+/// more urgent requests have used recently, against the less urgent ones of all
+/// VMs and halls that ask it; what isn't used is lent to any VM that asks.
 
 #ifndef STEPLEDGE_QUOTA_QUOTALEDGER_H
 #define STEPLEDGE_QUOTA_QUOTALEDGER_H
@@ -38,11 +38,11 @@
 public:
   QuotaLedger(QuotaOptions options, IQuotaIo &io);
 
-  /// From a configuration; a lower limit binds at once.
+  /// Applies a configuration; a lower limit takes effect at once.
   void setOrganisations(const std::map<OrganisationId, control::Organisation>
                             &organisations) override;
   void setEntries(const std::vector<membership::EntryVm> &entries) override;
-  /// Another VM is to keep what this one has kept.
+  /// Stops keeping quotas as a home, so that another VM takes over.
   void stop() { IsStopping = true; }
 
   QuotaVerdict admit(TimePoint now, const OrganisationId &organisation,
@@ -50,20 +50,20 @@
   Duration retryAfter(TimePoint now, const OrganisationId &organisation,
                       int priority) override;
 
-  /// Another VM asks this one as a home.
+  /// Handles an ask of another VM to this one as a home.
   void asked(TimePoint now, const std::string &ip, const QuotaAsk &ask);
   void answered(TimePoint now, const std::string &ip, const QuotaGrant &grant);
-  /// The connection to a home is lost.
+  /// Handles the loss of the connection to a home.
   void homeLost(TimePoint now, const std::string &ip);
   void tick(TimePoint now);
-  /// The VMs to stay connected to, as long as quotas are set.
+  /// The VMs to stay connected to while quotas are configured.
   std::set<std::string> homesToKeep() const;
 
 private:
   struct Lease {
     int Operations = 0;
     TimePoint ExpiresAt{};
-    /// The least urgent that may use it, until it is free for all.
+    /// The least urgent priority that may use the lease before FreeAt.
     int Priority = 0;
     TimePoint FreeAt{};
   };
@@ -73,81 +73,86 @@
     TimePoint AskedAt{};
     bool IsToOtherHall = false;
   };
-  /// What is asked for one priority.
+  /// The state of the asks for one priority.
   struct Want {
     std::optional<OpenAsk> Ask;
     TimePoint NextAskAt{};
     TimePoint ExhaustedUntil{};
-    /// The other halls that have nothing left either, and until when.
+    /// The other halls that have nothing left either, and until when they
+    /// aren't asked.
     std::map<HallId, TimePoint> EmptyHalls;
     /// The other hall that was asked last.
     HallId LastHall;
   };
-  /// What this VM knows of one organisation.
+  /// The state that this VM keeps of one organisation.
   struct Account {
     explicit Account(Duration demandTime)
         : HallDemand(demandTime), FarDemand(demandTime) {}
 
     BucketLimit HallLimit;
-    /// In the order of urgency.
+    /// The most urgent first.
     std::deque<Lease> Leases;
     std::map<int, Want> Wants;
-    /// The hall's part, where this VM is its home.
+    /// The hall's part, if this VM is its home.
     std::optional<TokenBucket> Part;
-    /// When it began.
+    /// When this VM began to keep the part.
     TimePoint PartSince{};
     /// Operations granted to clients of this VM in about the last second.
     PriorityUse OwnUse{milliseconds(1000)};
-    /// What was asked of this VM as the home, granted or not, by its hall and
-    /// by others.
+    /// Operations that were asked of this VM as the home, granted or not, by
+    /// its hall and by others.
     PriorityUse HallDemand;
     PriorityUse FarDemand;
     RetryTimes Returns;
   };
 
   bool isBad(TimePoint now, const std::string &ip) const;
-  /// The home of \p hall that should be asked; none if none is there.
+  /// The home to ask in \p hall; none if no home is available.
   std::optional<std::string> homeIn(TimePoint now, const HallId &hall,
                                     const OrganisationId &organisation) const;
   bool isHome(TimePoint now, const OrganisationId &organisation) const;
-  /// Takes up to \p most from what was lent, then from the hall's part.
+  /// Takes up to \p most operations from the leases, then from the hall's part.
   int takeLocal(TimePoint now, const OrganisationId &organisation,
                 Account &account, int priority, int most);
   static int takeLent(TimePoint now, Account &account, int priority, int most);
   TokenBucket &partOf(TimePoint now, Account &account);
-  /// What is kept for a more urgent \p use in operations a second.
+  /// The reserve for more urgent requests that use \p use operations per
+  /// second.
   static double keptFor(const Account &account, double use);
-  /// What the hall's part keeps from \p priority for more urgent ones.
+  /// The reserve of the hall's part that \p priority may not use.
   static double keptFrom(TimePoint now, const Account &account, int priority);
   /// The same where another hall asks.
   static double keptFromOthers(TimePoint now, const Account &account,
                                int priority);
-  /// More is asked of this home than its part's rate.
+  /// Whether the demand on this home exceeds its part's rate.
   static bool isOverAsked(TimePoint now, const Account &account);
-  /// It, or what is more urgent, was refused and must wait for the refill.
+  /// Whether this priority or a more urgent one was refused and must wait for
+  /// the refill.
   static bool isExhausted(TimePoint now, const Account &account, int priority);
   void noteDemand(TimePoint now, const QuotaAsk &ask, Account &account,
                   int operations);
-  /// Asks whoever may have some: the hall's home, or for a home another hall.
-  /// False where all have nothing left.
+  /// Asks the VM that may have operations: the hall's home or, if this VM is
+  /// the home, another hall. Returns false if all have nothing left.
   bool askForMore(TimePoint now, const OrganisationId &organisation,
                   Account &account, int priority, int operations);
   bool askOtherHall(TimePoint now, const OrganisationId &organisation,
                     Account &account, int priority, int operations);
-  /// Begins what this VM has become the home of, so that it fills before it is
-  /// asked for, and drops what it no longer is the home of.
+  /// Begins the parts that this VM has become the home of, so that they fill
+  /// before operations are asked for, and drops those that it is no longer the
+  /// home of.
   void reviewParts(TimePoint now);
   void noteSilent(TimePoint now, const std::string &ip);
   void sendAsk(TimePoint now, const std::string &ip, Want &want, QuotaAsk ask);
-  /// Of \p operations that a VM asks for, those that it hardly lets lapse:
-  /// where more is asked than there is, what lapses at one VM is missing at
-  /// another.
+  /// How many of the \p operations that a VM asks for are unlikely to expire
+  /// unused: where demand exceeds the quota, operations that expire at one VM
+  /// are missing at another.
   int surelyUsed(int operations) const;
   int giveTo(TimePoint now, const QuotaAsk &ask, Account &account);
   /// The time until the hall's part has an operation for \p priority again.
   static Duration timeToNext(TimePoint now, const Account &account,
                              int priority);
-  /// Operations a second that this VM's clients of \p priority may hope for.
+  /// The operations per second that this VM's clients of \p priority can
+  /// expect.
   double hopedRate(TimePoint now, const Account &account, int priority) const;
   void addLease(Account &account, int priority, int operations,
                 TimePoint askedAt);
@@ -160,9 +165,10 @@
   std::map<std::string, HallId> HallOf;
   int VmsOfHall = 1;
   std::map<OrganisationId, Account> Accounts;
-  /// Until when they aren't asked.
+  /// Unavailable homes, and until when they aren't asked.
   std::map<std::string, TimePoint> BadHomes;
-  /// Homes that aren't connected, and since when they should be.
+  /// Homes that aren't connected, and since when a connection to them is
+  /// needed.
   std::map<std::string, TimePoint> Unconnected;
   TimePoint ReviewedAt{};
   std::uint64_t LastNumber = 0;
--- a/src/quota/RetryTimes.cpp
+++ b/src/quota/RetryTimes.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// Callers for whom there is no room within MostRetry come back spread over so
-/// many places in its second half, in an order that keeps neighbours apart.
+/// Callers for whom no operation is available within MostRetry are spread over
+/// this many places in its second half, in an order that keeps neighbours
+/// apart.
 constexpr std::uint32_t Places = 64;
 constexpr std::uint32_t PlaceStep = 39;
 
@@ -33,8 +34,8 @@
     Last[priority] = at;
     return at - now;
   }
-  // NOTE: the line of those who were told a time stays as it is, since these
-  // ask once more before they find room.
+  // NOTE: the schedule of the callers that got a retry time stays as it is,
+  // since these callers ask once more before an operation is available.
   const std::uint32_t place = Told++ * PlaceStep % Places;
   return MostRetry - MostRetry / 2 * place / Places;
 }
--- a/src/quota/RetryTimes.h
+++ b/src/quota/RetryTimes.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file When callers that were refused should come back, so that they arrive
-/// no faster than there is room for them.
+/// \file Retry delays of refused callers, chosen so that they return no faster
+/// than operations become available.
 
 #ifndef STEPLEDGE_QUOTA_RETRYTIMES_H
 #define STEPLEDGE_QUOTA_RETRYTIMES_H
@@ -14,19 +14,20 @@
 
 namespace stepledge::quota {
 
-/// A client need not be told to come back sooner, nor much later.
+/// The bounds of a retry delay: a client need not return sooner, nor much
+/// later.
 constexpr Duration LeastRetry = milliseconds(20);
 constexpr Duration MostRetry = milliseconds(1000);
 
 class RetryTimes {
 public:
-  /// The pause for one more caller of \p priority: at least \p least, and
-  /// behind those of the same or a more urgent priority that were told a time
-  /// before it, where \p perSecond of its priority find room.
+  /// The delay of one more caller of \p priority: at least \p least, and after
+  /// the earlier callers of the same or a more urgent priority that got a retry
+  /// time, with \p perSecond operations available to its priority.
   Duration next(TimePoint now, int priority, Duration least, double perSecond);
 
 private:
-  /// The last time told to a caller, by priority.
+  /// The latest retry time given to a caller, by priority.
   std::map<int, TimePoint> Last;
   std::uint32_t Told = 0;
 };
--- a/src/quota/tests/NoQuota.h
+++ b/src/quota/tests/NoQuota.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Quotas that grant everything, but what a test forbids.
+/// \file A quota that grants every operation, unless a test sets another
+/// verdict.
 
 #ifndef STEPLEDGE_QUOTA_TESTS_NOQUOTA_H
 #define STEPLEDGE_QUOTA_TESTS_NOQUOTA_H
@@ -36,7 +37,7 @@
 
   QuotaVerdict Verdict = QuotaVerdict::Granted;
   std::vector<OrganisationId> Asked;
-  /// Of each that was asked.
+  /// The priority of each operation asked for.
   std::vector<int> Priorities;
 };
 
--- a/src/quota/tests/QuotaLedgerTest.cpp
+++ b/src/quota/tests/QuotaLedgerTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What one VM answers, and what quotas refuse and cost when nothing is
-/// wrong.
+/// \file Tests of one VM's answers, and of the refusals and the messages of
+/// quotas without faults.
 
 #include "quota/tests/SimulatedQuotas.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Keeps what one VM says to others.
+/// Records the messages that one VM sends to others.
 class RecordedIo : public IQuotaIo {
 public:
   bool askHome(const std::string &ip, const QuotaAsk &ask) override {
@@ -36,7 +36,7 @@
 const OrganisationId TheOrganisation("o");
 const TimePoint Start(std::chrono::seconds(10));
 
-/// A VM among \p vms of one hall, with a quota of 100 operations a second.
+/// The first of \p vms in one hall, with a quota of 100 operations per second.
 QuotaLedger ledgerOf(IQuotaIo &io, const std::vector<std::string> &vms) {
   QuotaOptions options;
   options.OwnIp = vms.front();
@@ -72,13 +72,13 @@
 
 TEST_CASE("QuotaLedger_GrantOfNoneLendsNothing") {
   RecordedIo io;
-  // By the order of the homes one of the two others is asked.
+  // By the order of the homes one of the other two VMs is asked.
   auto asker = ledgerOf(io, {"10.0.0.1", "10.0.0.2", "10.0.0.3"});
   const bool isOwnHome =
       asker.admit(Start, TheOrganisation, 0) == QuotaVerdict::Granted;
   REQUIRE_FALSE(isOwnHome);
   REQUIRE(io.Asks.size() == 1);
-  // A copy: asking again makes the list grow.
+  // Copied, since asking again appends to the list.
   const auto [ip, ask] = io.Asks.front();
   asker.answered(Start, ip,
                  {ask.Number, TheOrganisation, GrantResult::Lent, -3, {}});
@@ -95,7 +95,7 @@
     RecordedIo io;
     auto home = ledgerOf(io, {"10.0.0.1"});
     home.tick(Start);
-    // Full, and much more is asked than the rate.
+    // The part is full, and the demand is far above the rate.
     const TimePoint full = Start + milliseconds(2000);
     int granted = 0;
     while (home.admit(full, TheOrganisation, priority) == QuotaVerdict::Granted)
@@ -104,7 +104,7 @@
     for (int n = 0; n < 500; ++n)
       CHECK(home.admit(full, TheOrganisation, priority) ==
             QuotaVerdict::Exhausted);
-    // All that is refilled is lent, but what other halls leave.
+    // All refilled operations are lent, but another hall must leave a reserve.
     const TimePoint later = full + milliseconds(500);
     home.asked(later, "10.0.1.1", {1, TheOrganisation, 100, true, priority});
     CHECK(io.Grants.back().Operations == 20);
@@ -117,21 +117,21 @@
   RecordedIo io;
   auto home = ledgerOf(io, {"10.0.0.1"});
   home.tick(Start);
-  // Long after its start.
+  // Long after the part began.
   const TimePoint full = Start + milliseconds(4000);
   home.asked(full, "10.0.0.2", {1, TheOrganisation, 100, false, 0});
   CHECK(io.Grants.back().Operations == 100);
   for (int n = 0; n < 400; ++n)
     home.asked(full, "10.0.0.2", {2, TheOrganisation, 1, false, 2});
-  // Of a hundred in the last second of smoothing something is kept.
+  // For a hundred recent urgent operations a reserve is kept.
   const TimePoint later = full + milliseconds(200);
   home.asked(later, "10.0.0.2", {3, TheOrganisation, 10, false, 2});
   CHECK(io.Grants.back().Result == GrantResult::Exhausted);
   CHECK(io.Grants.back().RetryAfter > milliseconds(20));
-  // A VM that knows no priorities asks as the most urgent.
+  // An ask of a VM without priorities counts as the most urgent.
   home.asked(later, "10.0.0.3", {4, TheOrganisation, 10, false});
   CHECK(io.Grants.back().Operations == 10);
-  // What the urgent ones stop using goes to the others.
+  // Operations that the urgent requests no longer use go to the others.
   home.asked(later + milliseconds(9000), "10.0.0.2",
              {5, TheOrganisation, 100, false, 2});
   CHECK(io.Grants.back().Operations >= 90);
@@ -186,7 +186,7 @@
   SimulatedQuotas it(6, 3, 8, 300, 300);
   it.play(milliseconds(5000), 190);
   it.setLimit(20, 20);
-  // What was lent before is used up or void after a second.
+  // Operations lent before are used up or void after a second.
   it.play(milliseconds(1000), 190);
   const int granted = it.granted();
   it.play(milliseconds(10000), 190);
--- a/src/quota/tests/QuotaPriorityTest.cpp
+++ b/src/quota/tests/QuotaPriorityTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What callers get by priority when an organisation asks for more than
-/// its quota, and what it gets in all.
+/// \file Tests of what callers of each priority get when an organisation asks
+/// for more than its quota, and of what the organisation gets in total.
 
 #include "quota/tests/SimulatedQuotas.h"
 
@@ -26,7 +26,7 @@
   return {{Orders, OrderShare * usual}, {Browsing, (1 - OrderShare) * usual}};
 }
 
-/// Eight times the usual use in all, its orders 2.4 times.
+/// Eight times the usual use in total, and 2.4 times the usual orders.
 std::vector<SimulatedLoad> hardLoad(double rate) {
   const double orders = 2.4 * OrderShare * usualOf(rate);
   return {{Orders, orders}, {Browsing, 8 * usualOf(rate) - orders}};
@@ -56,16 +56,16 @@
     CAPTURE(seed);
     SimulatedQuotas it(seed, 3, 4, 120, 120);
     it.playAll(milliseconds(4000), usualLoad(120));
-    // Half of all clients are those of one VM, so its hall needs more for its
-    // orders than its part.
+    // Half of all clients use one VM, so its hall needs more than its part for
+    // its orders.
     it.playAll(PlayTime, hardLoad(120), 0.5);
     CHECK(it.refused(Orders) * 50 <= it.asked(Orders));
   }
 }
 
 TEST_CASE("QuotaPriority_NothingIsKeptAfterALossOfPower") {
-  // Clients come back with all that they held, for a second and a half: as
-  // much is granted as where all requests are of one priority.
+  // Clients return with all the requests that they held back, for a second and
+  // a half: as much is granted as if all requests had one priority.
   for (const double rate : {30.0, 120.0, 600.0}) {
     CAPTURE(rate);
     int granted[2] = {0, 0};
@@ -90,7 +90,8 @@
 }
 
 TEST_CASE("QuotaPriority_UsualUseAfterALossOfPowerIsServed") {
-  // Nobody was refused here before priorities were told apart.
+  // Without priorities no request is refused here; the reserve for urgent
+  // requests must not change that.
   for (const double rate : {30.0, 120.0, 600.0}) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       CAPTURE(rate);
@@ -125,7 +126,7 @@
     CAPTURE(rate);
     SimulatedQuotas it(5, 3, 8, rate, rate);
     it.playAll(milliseconds(4000), hardLoad(rate));
-    // The orders end, and what was kept for them is lent again.
+    // The orders end, and the reserve for them is lent again.
     it.playAll(milliseconds(3000), {{Browsing, 5 * rate}});
     const int granted = it.granted(Browsing);
     it.playAll(PlayTime, {{Browsing, 5 * rate}});
@@ -158,10 +159,10 @@
       CAPTURE(rate);
       CAPTURE(priority);
       SimulatedQuotas it(7, 3, 8, rate, rate);
-      // They come back at most four times.
+      // Callers return at most four times.
       it.setReturns(4);
       it.playAll(milliseconds(4000), usualLoad(rate));
-      // In a tenth of a second come two seconds' worth of the rate, of which
+      // Two seconds' worth of the rate arrive in a tenth of a second, of which
       // the burst serves about one.
       const int granted = it.granted();
       const int before = it.asked();
--- a/src/quota/tests/QuotaScheduleTest.cpp
+++ b/src/quota/tests/QuotaScheduleTest.cpp
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Seeded schedules: whatever is cut, stands still, starts again or holds
-/// another list, no more operations run in any window than the operator
-/// tolerates.
+/// \file Seeded fault schedules: if VMs are partitioned, paused, restarted or
+/// have different VM lists, no more operations run in any window than the
+/// operator tolerates.
 
 #include "quota/tests/SimulatedQuotas.h"
 
@@ -16,13 +16,14 @@
 
 constexpr Duration Window = milliseconds(5000);
 
-/// What the operator tolerates in one window: a tenth and 20 operations more.
+/// The operations that the operator tolerates in one window: a tenth and 20
+/// operations more than the limit.
 double allowed(double rate, double burst) {
   const std::chrono::duration<double> window = Window;
   return (rate * window.count() + burst) * 1.1 + 20;
 }
 
-/// At least \p leastMs, and less than \p spreadMs more.
+/// A random time of at least \p leastMs, and less than \p spreadMs more.
 Duration drawnTime(SimulatedQuotas &it, std::int64_t leastMs,
                    std::uint64_t spreadMs) {
   return milliseconds(leastMs +
@@ -90,7 +91,7 @@
     bool isCut = false;
     it.play(milliseconds(4000), 0);
     for (int i = 0; i < 12; ++i) {
-      // Which requests come, and from where, changes with each disturbance.
+      // The requests and the VMs that get them change with each fault.
       const double urgent = static_cast<double>(it.random()() % 20) / 10;
       const double toFirst = static_cast<double>(it.random()() % 3) / 2;
       it.playAll(drawnTime(it, 300, 1500),
@@ -108,8 +109,8 @@
     CAPTURE(rate);
     SimulatedQuotas it(seed, 3, 5, rate, rate);
     it.play(milliseconds(4000), 0);
-    // Every VM once within a window or so; some stand still before, and answers
-    // reach them late.
+    // Every VM restarts once within about a window; some are paused before, so
+    // that answers reach them late.
     for (std::size_t vm = 0; vm < it.size(); ++vm) {
       it.playAll(drawnTime(it, 100, 500), {{0, rate}, {2, 3 * rate}});
       it.freeze(it.random()() % it.size(), drawnTime(it, 100, 2000));
--- a/src/quota/tests/RetryTimesTest.cpp
+++ b/src/quota/tests/RetryTimesTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file When many callers that are refused at once are told to come back.
+/// \file Tests of the retry delays of many callers that are refused at once.
 
 #include "quota/RetryTimes.h"
 
--- a/src/quota/tests/SimulatedQuotas.cpp
+++ b/src/quota/tests/SimulatedQuotas.cpp
@@ -15,7 +15,7 @@
 constexpr Duration Delay = milliseconds(1);
 /// How long a statement waits for its quota.
 constexpr Duration Patience = milliseconds(700);
-/// How long a VM is away when it starts again.
+/// How long a VM that restarts is unreachable.
 constexpr Duration Away = milliseconds(500);
 const OrganisationId TheOrganisation("o");
 
@@ -58,7 +58,7 @@
   std::deque<Caller> Waiting;
   bool MustPump = false;
   bool IsListed = true;
-  /// Standing still or away until then.
+  /// The VM is paused or unreachable until then.
   TimePoint StillUntil{};
   int Life = 0;
 };
@@ -96,7 +96,7 @@
 
 void SimulatedQuotas::setListed(std::size_t vm, bool isListed) {
   Vms[vm]->IsListed = isListed;
-  // NOTE: not all hear of it at once.
+  // NOTE: not all VMs receive the new list at once.
   for (auto &it : Vms)
     if (Random() % 4 != 0)
       it->Ledger->setEntries(entries());
@@ -145,7 +145,7 @@
       kept.push_back(std::move(it));
       continue;
     }
-    // NOTE: the connection to an earlier life is gone.
+    // NOTE: the connection to an earlier incarnation is closed.
     if (it.Life != Vms[it.From]->Life)
       continue;
     if (const auto *ask = std::get_if<QuotaAsk>(&it.Body))
--- a/src/quota/tests/SimulatedQuotas.h
+++ b/src/quota/tests/SimulatedQuotas.h
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Entry VMs in halls that keep quotas, over links that delay, cut and
-/// lose, driven by a seed.
+/// \file A simulation, driven by a seed, of entry VMs that keep quotas in
+/// several halls, with links that delay and lose messages and can be
+/// partitioned.
 
 #ifndef STEPLEDGE_QUOTA_TESTS_SIMULATEDQUOTAS_H
 #define STEPLEDGE_QUOTA_TESTS_SIMULATEDQUOTAS_H
@@ -25,7 +26,7 @@
   double PerSecond = 0;
 };
 
-/// One organisation, "o", asks through all VMs.
+/// One organisation, "o", asks for operations through all VMs.
 class SimulatedQuotas {
 public:
   SimulatedQuotas(std::uint64_t seed, int halls, int vmsPerHall, double rate,
@@ -34,32 +35,32 @@
   SimulatedQuotas(const SimulatedQuotas &) = delete;
   SimulatedQuotas &operator=(const SimulatedQuotas &) = delete;
 
-  /// Lets time pass while clients ask \p perSecond operations; of every VM
-  /// alike, or a part \p toFirst of them of the first one.
+  /// Runs for \p time while clients ask for \p perSecond operations, evenly
+  /// over all VMs, but with a fraction of \p toFirst at the first VM.
   void play(Duration time, double perSecond, double toFirst = 0);
   /// The same for several priorities at once.
   void playAll(Duration time, const std::vector<SimulatedLoad> &loads,
                double toFirst = 0);
-  /// Refused callers come back so often, each when it was told to.
+  /// Refused callers return up to this many times, each after its retry delay.
   void setReturns(int most) { MostReturns = most; }
   void setLimit(double rate, double burst);
-  /// The first hall hears nobody else, and nobody hears it.
+  /// Partitions the first hall from the others, or ends that.
   void cutFirstHall(bool isCut) { IsFirstHallCut = isCut; }
-  /// A VM starts again and knows nothing of before; it is away for a moment.
+  /// Restarts a VM without its state; it is unreachable for a moment.
   void restart(std::size_t vm);
   void restartAll();
-  /// A VM stands still, and goes on with what it had.
+  /// Pauses a VM, which then goes on with the state that it had.
   void freeze(std::size_t vm, Duration time);
-  /// A VM disappears from the lists of the others, or comes back.
+  /// Removes a VM from the lists of the others, or adds it again.
   void setListed(std::size_t vm, bool isListed);
 
   std::size_t size() const { return Vms.size(); }
   std::mt19937_64 &random() { return Random; }
-  /// The most operations run in any span of \p window.
+  /// The highest number of operations that ran in any span of \p window.
   int mostIn(Duration window) const;
   int granted() const { return static_cast<int>(GrantedAt.size()); }
   int granted(int priority) const { return countOf(Grants, priority); }
-  /// Operations refused, of those asked.
+  /// Refusals of the operations asked for.
   int refused() const { return sumOf(Refused); }
   int refused(int priority) const { return countOf(Refused, priority); }
   int asked() const { return sumOf(Asked); }
@@ -73,7 +74,7 @@
     TimePoint At{};
     std::size_t From = 0;
     std::size_t To = 0;
-    /// Of the sender's life; what was sent in an earlier one is lost.
+    /// The sender's incarnation; messages of an earlier one are lost.
     int Life = 0;
     std::variant<QuotaAsk, QuotaGrant> Body;
   };
--- a/src/quota/types/QuotaOptions.h
+++ b/src/quota/types/QuotaOptions.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What the quotas of organisations are kept by.
+/// \file The options of the organisations' quotas.
 
 #ifndef STEPLEDGE_QUOTA_TYPES_QUOTAOPTIONS_H
 #define STEPLEDGE_QUOTA_TYPES_QUOTAOPTIONS_H
@@ -16,28 +16,28 @@
 struct QuotaOptions {
   std::string OwnIp;
   HallId OwnHall;
-  /// Among how many halls a quota is divided. It comes from the settings, not
-  /// from the VMs heard of: halls that are cut off from each other, and VMs
-  /// that have just started, must divide it alike.
+  /// The number of halls among which a quota is divided. It comes from the
+  /// settings, not from the list of known VMs: halls that are partitioned from
+  /// each other, and VMs that have just started, must divide it alike.
   int Halls = 1;
   /// Operations beyond a quota that the operator tolerates in one window. Part
   /// of it lets small organisations ask in several halls at once.
   double Tolerance = 0;
-  /// A lent operation that isn't used within this time is void: it bounds what
-  /// a VM that stood still may still use.
+  /// A lent operation that isn't used within this time is void: this bounds
+  /// what a VM that was paused may still use.
   Duration LeaseTime = milliseconds(1000);
-  /// How far ahead a VM asks, by its use in the last second.
+  /// How far ahead a VM asks for operations, by its use in the last second.
   Duration Forecast = milliseconds(500);
-  /// A home that owes an answer for this long has gone: well above the time
-  /// that a busy VM takes to answer.
+  /// A home that owes an answer for this long is taken for gone: well above the
+  /// time that a busy VM takes to answer.
   Duration SilenceLimit = milliseconds(300);
-  /// A home that has gone isn't asked again before.
+  /// How long an unavailable home isn't asked.
   Duration BadHomePause = milliseconds(1000);
   /// How often a home that has nothing left asks the other halls.
   Duration HallAskInterval = milliseconds(100);
-  /// The pause before a home that couldn't tell yet is asked again.
+  /// The delay before a home that couldn't answer yet is asked again.
   Duration AskPause = milliseconds(5);
-  /// How often a VM looks whether it has become a home, or is none any more.
+  /// How often a VM checks whether it has become a home, or is no longer one.
   Duration PartInterval = milliseconds(1000);
   /// How many VMs of a hall keep quotas: bounds the connections that each VM
   /// needs for them.
@@ -47,7 +47,7 @@
 /// Whether an operation may be sent to an instance.
 enum class QuotaVerdict {
   Granted,
-  /// Not known yet; ask again once told.
+  /// Not known yet; ask again after IQuotaIo::quotaChanged.
   Pending,
   /// Beyond the organisation's quota.
   Exhausted,
