--- a/src/overload/LineLoad.cpp
+++ b/src/overload/LineLoad.cpp
@@ -8,49 +8,50 @@
 
 namespace stepledge::overload {
 
-double LineLoad::numberNow(TimePoint now, const Count &count) const {
-  return count.Number * std::exp(-toMilliseconds(now - count.At) /
-                                 toMilliseconds(Options.RateWindow));
+double LineLoad::decayedCount(TimePoint now, const Count &count) const {
+  return count.Value * std::exp(-toMilliseconds(now - count.UpdatedAt) /
+                                toMilliseconds(Options.RateWindow));
 }
 
 void LineLoad::noteBegun(TimePoint now, const Urgency &urgency) {
-  auto &it = Begun[urgency];
-  it = {numberNow(now, it) + 1, now};
+  auto &it = Started[urgency];
+  it = {decayedCount(now, it) + 1, now};
 }
 
 void LineLoad::noteHeld(Duration time) {
-  if (Held == Duration{}) {
-    Held = time;
+  if (HoldTime == Duration{}) {
+    HoldTime = time;
     return;
   }
-  const auto sample = std::min(time, Options.MostHeldFactor * Held);
+  const auto sample = std::min(time, Options.MaxHoldTimeFactor * HoldTime);
   const double change =
-      static_cast<double>((sample - Held).count()) * Options.HeldWeight;
-  Held = std::max(Duration(1), Held + Duration(std::llround(change)));
+      static_cast<double>((sample - HoldTime).count()) * Options.HoldTimeWeight;
+  HoldTime = std::max(Duration(1), HoldTime + Duration(std::llround(change)));
 }
 
-double LineLoad::takenBefore(TimePoint now, const Urgency &urgency,
-                             int connections) const {
+double LineLoad::moreUrgentShare(TimePoint now, const Urgency &urgency,
+                                 int connections) const {
   double number = 0;
-  for (auto it = Begun.begin(); it != Begun.end() && it->first < urgency; ++it)
-    number += numberNow(now, it->second);
+  for (auto it = Started.begin(); it != Started.end() && it->first < urgency;
+       ++it)
+    number += decayedCount(now, it->second);
   const double rate = number / toMilliseconds(Options.RateWindow);
-  return std::min(Options.MostTaken,
-                  rate * toMilliseconds(Held) / std::max(1, connections));
+  return std::min(Options.MaxUrgentShare,
+                  rate * toMilliseconds(HoldTime) / std::max(1, connections));
 }
 
 Duration LineLoad::drainTime(int ahead, int connections) const {
   // NOTE: of several busy connections, the first is free again sooner than the
   // others.
   const int n = std::max(1, connections);
-  return Held * ahead / n + Held / (n + 1);
+  return HoldTime * ahead / n + HoldTime / (n + 1);
 }
 
 Duration LineLoad::wait(TimePoint now, const Urgency &urgency, int ahead,
                         int connections) const {
   const auto alone = static_cast<double>(drainTime(ahead, connections).count());
   return Duration(
-      std::llround(alone / (1.0 - takenBefore(now, urgency, connections))));
+      std::llround(alone / (1.0 - moreUrgentShare(now, urgency, connections))));
 }
 
 } // namespace stepledge::overload
--- a/src/overload/LineLoad.h
+++ b/src/overload/LineLoad.h
@@ -14,14 +14,14 @@
 
 namespace stepledge::overload {
 
-struct LoadOptions {
+struct QueueLoadOptions {
   /// Weight of a new sample in the smoothed hold time: averages over some tens
   /// of borrows, so that a few long ones don't look like an overload.
-  double HeldWeight = 0.05;
+  double HoldTimeWeight = 0.05;
   /// Caps a sample at this multiple of the smoothed hold time: a transaction
   /// may be idle a hundred times as long, and its connection isn't counted
   /// among the others meanwhile.
-  int MostHeldFactor = 4;
+  int MaxHoldTimeFactor = 4;
   /// Window over which the rate of started borrows is measured: about one
   /// latency objective, so that a burst shows before the borrows queued behind
   /// it are late.
@@ -29,19 +29,19 @@
   /// Maximum share of the capacity that more urgent borrows are assumed to
   /// need: the small remainder lets one borrow find out when there is capacity
   /// again.
-  double MostTaken = 0.95;
+  double MaxUrgentShare = 0.95;
 };
 
 class LineLoad {
 public:
-  explicit LineLoad(LoadOptions options = {}) : Options(options) {}
+  explicit LineLoad(QueueLoadOptions options = {}) : Options(options) {}
 
   /// Records that a borrow of that urgency got a connection.
   void noteBegun(TimePoint now, const Urgency &urgency);
   /// Records how long a borrow held its connection.
   void noteHeld(Duration time);
   /// The smoothed time for which a borrow holds a connection; 0 while unknown.
-  Duration held() const { return Held; }
+  Duration held() const { return HoldTime; }
   /// The expected wait of a borrow with \p ahead others before it in the queue
   /// and \p connections, none of them free; 0 while unknown. Assumes that more
   /// urgent borrows go on arriving at their recent rate.
@@ -53,17 +53,17 @@
 private:
   /// An exponentially decaying count.
   struct Count {
-    double Number = 0;
-    TimePoint At{};
+    double Value = 0;
+    TimePoint UpdatedAt{};
   };
-  double numberNow(TimePoint now, const Count &count) const;
+  double decayedCount(TimePoint now, const Count &count) const;
   /// The share of the connections' time that more urgent borrows take.
-  double takenBefore(TimePoint now, const Urgency &urgency,
-                     int connections) const;
+  double moreUrgentShare(TimePoint now, const Urgency &urgency,
+                         int connections) const;
 
-  LoadOptions Options;
-  Duration Held{};
-  std::map<Urgency, Count> Begun;
+  QueueLoadOptions Options;
+  Duration HoldTime{};
+  std::map<Urgency, Count> Started;
 };
 
 } // namespace stepledge::overload
--- a/src/overload/RetryTime.cpp
+++ b/src/overload/RetryTime.cpp
@@ -12,7 +12,7 @@
 
 /// About one round trip between two VMs: an earlier retry costs more than the
 /// wait that it saves.
-constexpr Duration LeastPause = milliseconds(5);
+constexpr Duration MinDelay = milliseconds(5);
 
 /// FNV-1a with a final mixing step, which spreads ids that differ in one digit.
 std::uint64_t hashOf(std::string_view text) {
@@ -26,7 +26,7 @@
 } // namespace
 
 Duration retryTime(Duration wait, std::string_view statement) {
-  const Duration least = std::max(wait, LeastPause);
+  const Duration least = std::max(wait, MinDelay);
   const auto spread = static_cast<std::uint64_t>(least.count());
   return least +
          Duration(static_cast<Duration::rep>(hashOf(statement) % spread));
--- a/src/overload/ToldWaits.cpp
+++ b/src/overload/ToldWaits.cpp
@@ -10,48 +10,48 @@
 void ToldWaits::note(TimePoint now, const InstanceId &instance,
                      const std::string &lender, const Urgency &urgency,
                      Duration wait) {
-  auto &word = Words[instance][lender];
-  std::erase_if(word.Waits,
+  auto &report = Reports[instance][lender];
+  std::erase_if(report.Waits,
                 [&](const auto &it) { return it.second.Expires <= now; });
-  const Wait told{now + wait, now + std::min(wait, Options.MostBelieved)};
+  const Wait reported{now + wait, now + std::min(wait, Options.MostBelieved)};
   // NOTE: the newest report applies, and a more urgent borrow waits no longer.
-  for (auto it = word.Waits.begin();
-       it != word.Waits.end() && it->first < urgency; ++it)
-    it->second = {std::min(it->second.Until, told.Until),
-                  std::min(it->second.Expires, told.Expires)};
-  word.Waits[urgency] = told;
-  word.ToldAt = now;
+  for (auto it = report.Waits.begin();
+       it != report.Waits.end() && it->first < urgency; ++it)
+    it->second = {std::min(it->second.Until, reported.Until),
+                  std::min(it->second.Expires, reported.Expires)};
+  report.Waits[urgency] = reported;
+  report.ReportedAt = now;
 }
 
-const ToldWaits::Word *ToldWaits::find(const InstanceId &instance,
-                                       const std::string &lender) const {
-  const auto lenders = Words.find(instance);
-  if (lenders == Words.end())
+const ToldWaits::Report *ToldWaits::find(const InstanceId &instance,
+                                         const std::string &lender) const {
+  const auto lenders = Reports.find(instance);
+  if (lenders == Reports.end())
     return nullptr;
-  const auto word = lenders->second.find(lender);
-  return word == lenders->second.end() ? nullptr : &word->second;
+  const auto report = lenders->second.find(lender);
+  return report == lenders->second.end() ? nullptr : &report->second;
 }
 
 Duration ToldWaits::left(TimePoint now, const InstanceId &instance,
                          const std::string &lender,
                          const Urgency &urgency) const {
   Duration longest{};
-  const auto *word = find(instance, lender);
-  if (!word)
+  const auto *report = find(instance, lender);
+  if (!report)
     return longest;
-  for (auto it = word->Waits.begin();
-       it != word->Waits.end() && it->first <= urgency; ++it)
+  for (auto it = report->Waits.begin();
+       it != report->Waits.end() && it->first <= urgency; ++it)
     if (it->second.Expires > now)
       longest = std::max(longest, it->second.Until - now);
   return longest;
 }
 
 bool ToldWaits::isEmpty(TimePoint now, const InstanceId &instance) const {
-  const auto lenders = Words.find(instance);
-  if (lenders == Words.end())
+  const auto lenders = Reports.find(instance);
+  if (lenders == Reports.end())
     return true;
-  for (const auto &[lender, word] : lenders->second)
-    for (const auto &[urgency, wait] : word.Waits)
+  for (const auto &[lender, report] : lenders->second)
+    for (const auto &[urgency, wait] : report.Waits)
       if (wait.Expires > now)
         return false;
   return true;
@@ -59,14 +59,14 @@
 
 void ToldWaits::noteServed(TimePoint now, const InstanceId &instance,
                            const std::string &lender) {
-  Words[instance][lender].ServedAt = now;
+  Reports[instance][lender].ServedAt = now;
 }
 
 bool ToldWaits::isServing(TimePoint now, const InstanceId &instance,
                           const std::string &lender) const {
-  const auto *word = find(instance, lender);
-  return word && word->ServedAt > word->ToldAt &&
-         now - word->ServedAt <= Options.MostBelieved;
+  const auto *report = find(instance, lender);
+  return report && report->ServedAt > report->ReportedAt &&
+         now - report->ServedAt <= Options.MostBelieved;
 }
 
 bool ToldWaits::takeProbe(TimePoint now, const InstanceId &instance) {
@@ -78,12 +78,12 @@
 }
 
 void ToldWaits::forget(const InstanceId &instance, const std::string &lender) {
-  const auto lenders = Words.find(instance);
-  if (lenders == Words.end())
+  const auto lenders = Reports.find(instance);
+  if (lenders == Reports.end())
     return;
   lenders->second.erase(lender);
   if (lenders->second.empty())
-    Words.erase(lenders);
+    Reports.erase(lenders);
 }
 
 } // namespace stepledge::overload
--- a/src/overload/ToldWaits.h
+++ b/src/overload/ToldWaits.h
@@ -50,7 +50,7 @@
   Duration mostBelieved() const { return Options.MostBelieved; }
   /// Whether no lender that is still there has served a borrow or reported a
   /// wait.
-  bool hasNoWord() const { return Words.empty(); }
+  bool hasNoWord() const { return Reports.empty(); }
   /// Whether no lender has a valid reported wait for the instance.
   bool isEmpty(TimePoint now, const InstanceId &instance) const;
   /// Whether one borrow may go to a lender in spite of the reported waits;
@@ -66,15 +66,16 @@
     /// When the report is no longer valid.
     TimePoint Expires{};
   };
-  struct Word {
+  struct Report {
     std::map<Urgency, Wait> Waits;
-    TimePoint ToldAt{};
+    TimePoint ReportedAt{};
     TimePoint ServedAt{};
   };
-  const Word *find(const InstanceId &instance, const std::string &lender) const;
+  const Report *find(const InstanceId &instance,
+                     const std::string &lender) const;
 
   ToldOptions Options;
-  std::map<InstanceId, std::map<std::string, Word>> Words;
+  std::map<InstanceId, std::map<std::string, Report>> Reports;
   std::map<InstanceId, TimePoint> ProbedAt;
 };
 
--- a/src/overload/WaitPolicy.cpp
+++ b/src/overload/WaitPolicy.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-Duration partOf(Duration time, double part) {
+Duration fractionOf(Duration time, double part) {
   return Duration(
       static_cast<Duration::rep>(static_cast<double>(time.count()) * part));
 }
@@ -19,29 +19,30 @@
 Duration WaitPolicy::limit(const WaitFacts &facts) const {
   // NOTE: a transaction under way and a statement that waits for a new primary
   // don't wait for capacity, so refusing them early frees none.
-  const bool waitsForRoom = !facts.IsUnderWay && !facts.AwaitsPrimary &&
-                            facts.StatementTimeout > Duration{};
-  const Duration usual = waitsForRoom ? lateLimit(facts) : Options.Longest;
+  const bool waitsForCapacity = !facts.IsUnderWay && !facts.AwaitsPrimary &&
+                                facts.StatementTimeout > Duration{};
+  const Duration usual = waitsForCapacity ? lateLimit(facts) : Options.MaxWait;
   const Duration longest =
-      facts.IsHopeless ? std::min(usual, Options.LongestHopeless) : usual;
+      facts.IsHopeless ? std::min(usual, Options.MaxWaitUnsendable) : usual;
   // NOTE: an overload outlasts a single statement, and the sooner the client is
   // refused, the more time its other tries have.
   return facts.IsShed
-             ? std::min(longest, facts.Objective / Options.ShedPatienceDivisor)
+             ? std::min(longest, facts.Objective / Options.ShedWaitDivisor)
              : longest;
 }
 
 Duration WaitPolicy::lateLimit(const WaitFacts &facts) const {
   if (facts.StatementTimeout <= Duration{})
     return Options.LateObjectives * facts.Objective;
-  const Duration late = partOf(facts.StatementTimeout, Options.LatePart);
+  const Duration late =
+      fractionOf(facts.StatementTimeout, Options.LateFraction);
   return std::min(std::max(facts.Objective, late), facts.StatementTimeout);
 }
 
 Duration WaitPolicy::onTime(const WaitFacts &facts, Duration age,
                             Duration work) const {
-  return partOf(std::max(Duration{}, facts.Objective - age - work),
-                Options.OnTimePart);
+  return fractionOf(std::max(Duration{}, facts.Objective - age - work),
+                    Options.OnTimeFraction);
 }
 
 Duration WaitPolicy::late(const WaitFacts &facts, Duration age) const {
--- a/src/overload/WaitPolicy.h
+++ b/src/overload/WaitPolicy.h
@@ -14,20 +14,20 @@
 struct WaitOptions {
   /// Default maximum wait: a primary is replaced in less time, and the client
   /// still has time for two more tries.
-  Duration Longest = milliseconds(700);
+  Duration MaxWait = milliseconds(700);
   /// The same for a statement that can't be sent from this VM for now.
-  Duration LongestHopeless = milliseconds(40);
+  Duration MaxWaitUnsendable = milliseconds(40);
   /// A statement that is kept from an overloaded primary waits for this part of
   /// its objective, one or two statement times, in case the overload ends at
   /// once.
-  int ShedPatienceDivisor = 8;
+  int ShedWaitDivisor = 8;
   /// The fraction of the time up to the objective that an expected wait may
   /// take: the rest is for waits and work that last longer than usual.
-  double OnTimePart = 0.75;
+  double OnTimeFraction = 0.75;
   /// A statement that can no longer meet its objective waits until this
   /// fraction of its timeout has passed: its client prefers a late answer to
   /// none, and once refused still has as long for another try.
-  double LatePart = 0.5;
+  double LateFraction = 0.5;
   /// The same as a number of objectives, where the timeout isn't known: the
   /// timeout of a route is some three objectives.
   int LateObjectives = 2;
--- a/src/overload/tests/LineLoadTest.cpp
+++ b/src/overload/tests/LineLoadTest.cpp
@@ -20,8 +20,8 @@
 
 /// Simulates borrows of \p urgency that keep \p connections busy with 10 ms
 /// each.
-TimePoint play(LineLoad &load, TimePoint now, const Urgency &urgency,
-               int connections, Duration time) {
+TimePoint run(LineLoad &load, TimePoint now, const Urgency &urgency,
+              int connections, Duration time) {
   const TimePoint end = now + time;
   for (; now < end; now += milliseconds(10))
     for (int i = 0; i < connections; ++i) {
@@ -52,8 +52,8 @@
 
 TEST_CASE("LineLoad_FloodOfOnePriorityLengthensTheWaitOfTheLessUrgentOnly") {
   LineLoad load;
-  const TimePoint now = play(load, TimePoint(std::chrono::seconds(1)), Usual, 4,
-                             milliseconds(2000));
+  const TimePoint now = run(load, TimePoint(std::chrono::seconds(1)), Usual, 4,
+                            milliseconds(2000));
   const Duration urgent = load.wait(now, Urgent, 1, 4);
   CHECK(urgent < milliseconds(10));
   CHECK(load.wait(now, Usual, 1, 4) == urgent);
@@ -63,8 +63,8 @@
 
 TEST_CASE("LineLoad_FloodThatIsOverIsForgottenWithinAnObjective") {
   LineLoad load;
-  const TimePoint now = play(load, TimePoint(std::chrono::seconds(1)), Urgent,
-                             4, milliseconds(2000));
+  const TimePoint now = run(load, TimePoint(std::chrono::seconds(1)), Urgent, 4,
+                            milliseconds(2000));
   CHECK(load.wait(now + milliseconds(600), Usual, 1, 4) < milliseconds(10));
 }
 
--- a/src/overload/tests/WaitPolicyTest.cpp
+++ b/src/overload/tests/WaitPolicyTest.cpp
@@ -14,13 +14,13 @@
   const WaitPolicy policy;
   WaitFacts facts;
   facts.Objective = milliseconds(240);
-  CHECK(policy.limit(facts) == WaitOptions().Longest);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWait);
   facts.IsShed = true;
   CHECK(policy.limit(facts) == milliseconds(30));
   facts.IsHopeless = true;
   CHECK(policy.limit(facts) == milliseconds(30));
   facts.IsShed = false;
-  CHECK(policy.limit(facts) == WaitOptions().LongestHopeless);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWaitUnsendable);
 }
 
 TEST_CASE("WaitPolicy_LimitFollowsTheRoute") {
@@ -46,12 +46,12 @@
   facts.Objective = milliseconds(120);
   facts.StatementTimeout = milliseconds(400);
   facts.IsUnderWay = true;
-  CHECK(policy.limit(facts) == WaitOptions().Longest);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWait);
   facts.IsUnderWay = false;
   facts.AwaitsPrimary = true;
-  CHECK(policy.limit(facts) == WaitOptions().Longest);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWait);
   facts.IsHopeless = true;
-  CHECK(policy.limit(facts) == WaitOptions().LongestHopeless);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWaitUnsendable);
 }
 
 TEST_CASE("WaitPolicy_WaitThatIsOfUseShrinksWithAge") {
