--- a/src/scheduling/FairShares.cpp
+++ b/src/scheduling/FairShares.cpp
@@ -15,20 +15,20 @@
 constexpr double SampleWeight = 0.05;
 /// How often expired accounts are removed, so that the cost of a decision
 /// depends on the waiting organisations and not on the number of accounts.
-constexpr Duration ForgetInterval = std::chrono::seconds(1);
+constexpr Duration ExpiryInterval = std::chrono::seconds(1);
 
 } // namespace
 
-double FairShares::startOf(const OrganisationId &organisation) const {
+double FairShares::startTagOf(const OrganisationId &organisation) const {
   const auto it = Accounts.find(organisation);
   return it == Accounts.end() ? VirtualTime
-                              : std::max(VirtualTime, it->second.Finish);
+                              : std::max(VirtualTime, it->second.FinishTag);
 }
 
 void FairShares::noteUse(TimePoint now, const OrganisationId &organisation,
                          Duration slotTime, double weight) {
   const double used = static_cast<double>(slotTime.count());
-  const double start = startOf(organisation);
+  const double start = startTagOf(organisation);
   if (isIdle(now))
     VirtualTime = start;
   Accounts[organisation] = {start + used / weight, now};
@@ -37,35 +37,35 @@
                       : UsualSlotTime + (used - UsualSlotTime) * SampleWeight;
   ++Services;
   UsedAt = now;
-  if (now - ForgottenAt > ForgetInterval)
-    forget(now);
+  if (now - ExpiredAt > ExpiryInterval)
+    removeExpired(now);
 }
 
-void FairShares::noteWaiting(TimePoint now,
-                             const std::set<OrganisationId> &waiting) {
-  LookedAt = now;
-  HeldBack = 0;
+void FairShares::setWaiting(TimePoint now,
+                            const std::set<OrganisationId> &waiting) {
+  CheckedAt = now;
+  DeferredCount = 0;
   if (waiting.empty())
     return;
-  double least = startOf(*waiting.begin());
+  double least = startTagOf(*waiting.begin());
   for (const auto &it : waiting)
-    least = std::min(least, startOf(it));
+    least = std::min(least, startTagOf(it));
   VirtualTime = least;
-  HeldBack = static_cast<std::size_t>(
+  DeferredCount = static_cast<std::size_t>(
       std::count_if(waiting.begin(), waiting.end(),
-                    [&](const auto &it) { return startOf(it) > least; }));
+                    [&](const auto &it) { return startTagOf(it) > least; }));
 }
 
-void FairShares::forget(TimePoint now) {
-  ForgottenAt = now;
+void FairShares::removeExpired(TimePoint now) {
+  ExpiredAt = now;
   std::erase_if(Accounts, [&](const auto &it) {
-    return it.second.Finish <= VirtualTime ||
-           now - it.second.UsedAt > Options.Memory;
+    return it.second.FinishTag <= VirtualTime ||
+           now - it.second.UsedAt > Options.UsageRetention;
   });
 }
 
-bool FairShares::isOver(TimePoint now) const {
-  return isIdle(now) && now - UsedAt > Options.Memory;
+bool FairShares::isExpired(TimePoint now) const {
+  return isIdle(now) && now - UsedAt > Options.UsageRetention;
 }
 
 } // namespace stepledge::scheduling
--- a/src/scheduling/FairShares.h
+++ b/src/scheduling/FairShares.h
@@ -20,19 +20,19 @@
 struct ShareOptions {
   /// An organisation that has used nothing for this long starts like the
   /// others: a longer memory would count a past flood against it.
-  Duration Memory = std::chrono::seconds(5);
+  Duration UsageRetention = std::chrono::seconds(5);
   /// If no statement has waited for this long, usage is at no organisation's
   /// expense. A VM checks its waiting statements every 10 to 40 ms.
   Duration IdleAfter = milliseconds(100);
   /// One in this many services goes to the statement that has waited longest
   /// and can still be answered in time, so that no kind of statement starves;
   /// the others can spare that capacity.
-  std::uint64_t FloorInterval = 20;
+  std::uint64_t OldestFirstInterval = 20;
   /// How many statements an organisation of average weight may be over its fair
   /// share and still go before less urgent statements of others. For another
   /// weight it is scaled by the root of the weight, since random bursts grow
   /// with the root of the rate.
-  double Lead = 4;
+  double OverShareTolerance = 4;
 };
 
 /// Virtual time is slot time divided by the organisation's weight. It is set to
@@ -48,40 +48,40 @@
   void noteUse(TimePoint now, const OrganisationId &organisation,
                Duration slotTime, double weight);
   /// Sets the organisations that have waiting statements now.
-  void noteWaiting(TimePoint now, const std::set<OrganisationId> &waiting);
+  void setWaiting(TimePoint now, const std::set<OrganisationId> &waiting);
   /// The start tag of the organisation's next statement: a virtual time in
   /// microseconds. The lowest goes first.
-  double startOf(const OrganisationId &organisation) const;
+  double startTagOf(const OrganisationId &organisation) const;
   /// Whether an organisation is so far over its fair share that urgency no
   /// longer helps; \p start is the start tag of its next statement.
-  bool isAhead(double start, double weight) const {
+  bool isOverShare(double start, double weight) const {
     return start - VirtualTime >
-           Options.Lead * UsualSlotTime / std::sqrt(weight);
+           Options.OverShareTolerance * UsualSlotTime / std::sqrt(weight);
   }
   /// What one more statement of the usual slot time adds to the start tag.
-  double step(double weight) const { return UsualSlotTime / weight; }
-  bool isFloorsTurn() const {
-    return Services > 0 && Services % Options.FloorInterval == 0;
+  double startTagStep(double weight) const { return UsualSlotTime / weight; }
+  bool isOldestFirstTurn() const {
+    return Services > 0 && Services % Options.OldestFirstInterval == 0;
   }
   /// The number of organisations that waited at the last check behind another
   /// that had used less.
-  std::size_t heldBack(TimePoint now) const {
-    return isIdle(now) ? 0 : HeldBack;
+  std::size_t deferredCount(TimePoint now) const {
+    return isIdle(now) ? 0 : DeferredCount;
   }
   /// Whether the kept usage no longer matters.
-  bool isOver(TimePoint now) const;
+  bool isExpired(TimePoint now) const;
   std::size_t size() const { return Accounts.size(); }
 
 private:
   struct Account {
-    double Finish = 0;
+    double FinishTag = 0;
     TimePoint UsedAt{};
   };
 
   bool isIdle(TimePoint now) const {
-    return now - LookedAt > Options.IdleAfter;
+    return now - CheckedAt > Options.IdleAfter;
   }
-  void forget(TimePoint now);
+  void removeExpired(TimePoint now);
 
   ShareOptions Options;
   std::map<OrganisationId, Account> Accounts;
@@ -89,10 +89,10 @@
   /// Smoothed, in microseconds.
   double UsualSlotTime = 0;
   std::uint64_t Services = 0;
-  std::size_t HeldBack = 0;
-  TimePoint LookedAt{};
+  std::size_t DeferredCount = 0;
+  TimePoint CheckedAt{};
   TimePoint UsedAt{};
-  TimePoint ForgottenAt{};
+  TimePoint ExpiredAt{};
 };
 
 } // namespace stepledge::scheduling
--- a/src/scheduling/ServingLine.h
+++ b/src/scheduling/ServingLine.h
@@ -19,7 +19,7 @@
 
 namespace stepledge::scheduling {
 
-struct LineOptions {
+struct QueueSchedulerOptions {
   /// A queue in which a statement has waited for longer is overloaded: a good
   /// part of the latency objectives, which are some 150 to 600 ms.
   Duration OverloadAge = milliseconds(100);
@@ -28,7 +28,7 @@
 
 class ServingLine {
 public:
-  explicit ServingLine(LineOptions options = {}) : Options(options) {}
+  explicit ServingLine(QueueSchedulerOptions options = {}) : Options(options) {}
 
   /// Sets the rates by which the organisations share each queue, in operations
   /// per second and 0 for none; without any organisation all statements are
@@ -36,13 +36,13 @@
   void setRates(const std::map<OrganisationId, double> &rates);
   /// Records that a statement or the opening of a connection for
   /// \p organisation has held a slot for \p slotTime.
-  void noteUse(TimePoint now, const LineId &line,
+  void noteUse(TimePoint now, const LineId &queue,
                const OrganisationId &organisation, Duration slotTime);
 
   /// The keys of \p waiters, which are in the order of their arrival, with the
   /// one to serve first in front.
   template <typename Key>
-  std::vector<Key> inOrder(TimePoint now, const LineId &line,
+  std::vector<Key> inOrder(TimePoint now, const LineId &queue,
                            std::vector<std::pair<WaitRank, Key>> waiters) {
     std::vector<WaitRank> ranks;
     ranks.reserve(waiters.size());
@@ -51,7 +51,7 @@
     std::vector<Key> keys;
     keys.reserve(waiters.size());
     for (const auto i :
-         IsFair ? fairOrder(now, line, ranks) : order(now, ranks))
+         IsFair ? fairOrder(now, queue, ranks) : order(now, ranks))
       keys.push_back(std::move(waiters[i].second));
     return keys;
   }
@@ -65,19 +65,19 @@
   /// The same between organisations: statements that can still be answered in
   /// time go first, then the organisation that has used least for its weight;
   /// each organisation's own statements are in the order above.
-  std::vector<std::size_t> fairOrder(TimePoint now, const LineId &line,
+  std::vector<std::size_t> fairOrder(TimePoint now, const LineId &queue,
                                      const std::vector<WaitRank> &ranks);
   /// The number of organisations that wait behind another that has used less,
   /// in any queue.
   std::size_t heldBack(TimePoint now) const;
 
 private:
-  FairShares &sharesOf(TimePoint now, const LineId &line);
+  FairShares &sharesOf(TimePoint now, const LineId &queue);
 
-  LineOptions Options;
+  QueueSchedulerOptions Options;
   bool IsFair = false;
   ShareWeights Weights;
-  std::map<LineId, FairShares> Lines;
+  std::map<LineId, FairShares> SharesByQueue;
 };
 
 } // namespace stepledge::scheduling
--- a/src/scheduling/tests/OtherOrders.cpp
+++ b/src/scheduling/tests/AlternativeOrders.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "scheduling/tests/OtherOrders.h"
+#include "scheduling/tests/AlternativeOrders.h"
 
 #include <algorithm>
 #include <tuple>
@@ -19,38 +19,40 @@
 
 } // namespace
 
-std::size_t LineOrder::pick(TimePoint now, const std::vector<WaitRank> &ranks) {
+std::size_t ProductOrder::pick(TimePoint now,
+                               const std::vector<WaitRank> &ranks) {
   std::vector<std::pair<WaitRank, std::size_t>> waiters;
   waiters.reserve(ranks.size());
   for (const auto &it : ranks)
     waiters.emplace_back(it, waiters.size());
-  return Line.inOrder(now, {"db", InstanceId("i")}, std::move(waiters)).front();
+  return Scheduler.inOrder(now, {"db", InstanceId("i")}, std::move(waiters))
+      .front();
 }
 
-void LineOrder::noteUse(TimePoint now, const OrganisationId &organisation,
-                        Duration took) {
-  Line.noteUse(now, {"db", InstanceId("i")}, organisation, took);
+void ProductOrder::noteUse(TimePoint now, const OrganisationId &organisation,
+                           Duration took) {
+  Scheduler.noteUse(now, {"db", InstanceId("i")}, organisation, took);
 }
 
 std::size_t PriorityFirst::pick(TimePoint now,
                                 const std::vector<WaitRank> &ranks) {
-  Shares.noteWaiting(now, namesOf(ranks));
+  Shares.setWaiting(now, namesOf(ranks));
   std::vector<std::size_t> indices(ranks.size());
   for (std::size_t i = 0; i < ranks.size(); ++i)
     indices[i] = i;
   const auto oldest = std::find_if(indices.begin(), indices.end(), [&](auto i) {
     return !ranks[i].isLate(now);
   });
-  if (Shares.isFloorsTurn() && oldest != indices.end())
+  if (Shares.isOldestFirstTurn() && oldest != indices.end())
     return *oldest;
   return *std::min_element(
       indices.begin(), indices.end(), [&](std::size_t i, std::size_t j) {
         const auto &a = ranks[i];
         const auto &b = ranks[j];
         return std::tuple(a.isLate(now), a.Priority,
-                          Shares.startOf(a.Organisation), b.ArrivedAt) <
+                          Shares.startTagOf(a.Organisation), b.ArrivedAt) <
                std::tuple(b.isLate(now), b.Priority,
-                          Shares.startOf(b.Organisation), a.ArrivedAt);
+                          Shares.startTagOf(b.Organisation), a.ArrivedAt);
       });
 }
 
--- a/src/scheduling/tests/OtherOrders.h
+++ b/src/scheduling/tests/AlternativeOrders.h
@@ -4,8 +4,8 @@
 /// \file Alternatives to the order of service that the product uses, for
 /// comparison, and the product's order, with or without organisations.
 
-#ifndef STEPLEDGE_SCHEDULING_TESTS_OTHERORDERS_H
-#define STEPLEDGE_SCHEDULING_TESTS_OTHERORDERS_H
+#ifndef STEPLEDGE_SCHEDULING_TESTS_ALTERNATIVEORDERS_H
+#define STEPLEDGE_SCHEDULING_TESTS_ALTERNATIVEORDERS_H
 
 #include "scheduling/ServingLine.h"
 #include "scheduling/tests/FakeInstance.h"
@@ -18,19 +18,19 @@
 
 /// The order that the product uses; without rates all organisations are treated
 /// alike.
-class LineOrder : public IOrder {
+class ProductOrder : public IServiceOrder {
 public:
-  explicit LineOrder(const Rates &rates) { Line.setRates(rates); }
+  explicit ProductOrder(const Rates &rates) { Scheduler.setRates(rates); }
   std::size_t pick(TimePoint now, const std::vector<WaitRank> &ranks) override;
   void noteUse(TimePoint now, const OrganisationId &organisation,
                Duration took) override;
 
 private:
-  ServingLine Line;
+  ServingLine Scheduler;
 };
 
 /// Start-time fair queueing among the most urgent waiting statements.
-class PriorityFirst : public IOrder {
+class PriorityFirst : public IServiceOrder {
 public:
   explicit PriorityFirst(const Rates &rates) : Weights(rates) {}
   std::size_t pick(TimePoint now, const std::vector<WaitRank> &ranks) override;
@@ -44,7 +44,7 @@
 
 /// Organisations take turns; each turn adds a quantum of slot time to the
 /// organisation's credit.
-class DeficitRoundRobin : public IOrder {
+class DeficitRoundRobin : public IServiceOrder {
 public:
   explicit DeficitRoundRobin(const Rates &rates) : Weights(rates) {}
   std::size_t pick(TimePoint now, const std::vector<WaitRank> &ranks) override;
@@ -60,4 +60,4 @@
 
 } // namespace stepledge::scheduling::tests
 
-#endif // STEPLEDGE_SCHEDULING_TESTS_OTHERORDERS_H
+#endif // STEPLEDGE_SCHEDULING_TESTS_ALTERNATIVEORDERS_H
--- a/src/scheduling/tests/FairServingLoadTest.cpp
+++ b/src/scheduling/tests/FairServingLoadTest.cpp
@@ -5,7 +5,7 @@
 /// burst of one kind of request, and the callers of the others are to be
 /// answered in time.
 
-#include "scheduling/tests/OtherOrders.h"
+#include "scheduling/tests/AlternativeOrders.h"
 
 #include <doctest/doctest.h>
 
@@ -25,14 +25,14 @@
 constexpr double SlotRate = 250;
 /// The fraction of the slots in use under the usual load while primaries serve
 /// the reads.
-constexpr double UsualPart = 0.6;
-constexpr int LargeOnes = 5;
+constexpr double UsualFraction = 0.6;
+constexpr int LargeOrganisations = 5;
 constexpr double LargeWeight = 8;
 
 struct Kind {
   int Priority;
   Duration Objective;
-  double Part;
+  double Fraction;
 };
 constexpr Kind Kinds[] = {{0, milliseconds(150), 0.3},
                           {1, milliseconds(300), 0.4},
@@ -46,7 +46,7 @@
 Rates ratesOf(int organisations, double large = LargeWeight) {
   Rates rates;
   for (int i = 0; i < organisations; ++i)
-    rates[nameOf(i)] = i < LargeOnes ? large : 1;
+    rates[nameOf(i)] = i < LargeOrganisations ? large : 1;
   return rates;
 }
 
@@ -59,46 +59,46 @@
 
 struct Load {
   std::size_t Slots = 2;
-  double Part = UsualPart;
+  double Fraction = UsualFraction;
   double Flood = 1;
   double Burst = 1;
 };
 
 std::vector<Demand> demandsOf(const Rates &rates, const Load &load) {
   const double unit =
-      static_cast<double>(load.Slots) * SlotRate * load.Part / sumOf(rates);
+      static_cast<double>(load.Slots) * SlotRate * load.Fraction / sumOf(rates);
   std::vector<Demand> demands;
   for (const auto &[organisation, rate] : rates)
     for (const auto &it : Kinds) {
       const double flood = organisation == Flooding ? load.Flood : 1;
       const double burst = it.Priority == BurstPriority ? load.Burst : 1;
       demands.push_back({organisation, it.Priority, it.Objective,
-                         unit * rate * it.Part * flood * burst});
+                         unit * rate * it.Fraction * flood * burst});
     }
   return demands;
 }
 
 /// One organisation at five times its usual rate during a burst: all others
 /// want less than their share of the slots.
-constexpr Load Contested{2, UsualPart, 5, 2.2};
+constexpr Load Contested{2, UsualFraction, 5, 2.2};
 /// The part of that load that the quotas admit, with more reads at the primary.
 constexpr Load WithinQuotas{2, 0.75, 1.6, 2.5};
 
 template <typename Order>
-Outcome playAll(const Rates &rates, const Rates &known, const Load &load,
-                std::uint64_t seeds = Seeds) {
+Outcome runAll(const Rates &rates, const Rates &known, const Load &load,
+               std::uint64_t seeds = Seeds) {
   Outcome sum;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     Order order(known);
     const auto each =
         FakeInstance(load.Slots, seed)
-            .play(demandsOf(rates, load), std::chrono::seconds(6), order);
+            .run(demandsOf(rates, load), std::chrono::seconds(6), order);
     for (const auto &[id, it] : each.Organisations) {
-      sum.Organisations[id].Asked += it.Asked;
+      sum.Organisations[id].Requested += it.Requested;
       sum.Organisations[id].InTime += it.InTime;
     }
     for (const auto &[priority, it] : each.Priorities) {
-      sum.Priorities[priority].Asked += it.Asked;
+      sum.Priorities[priority].Requested += it.Requested;
       sum.Priorities[priority].InTime += it.InTime;
     }
   }
@@ -107,32 +107,34 @@
 
 /// The lowest fraction answered in time among the organisations within their
 /// share.
-double leastInTime(const Outcome &outcome) {
-  double least = 1;
+double minInTime(const Outcome &outcome) {
+  double minimum = 1;
   for (const auto &[id, it] : outcome.Organisations)
     if (id != Flooding)
-      least = std::min(least, static_cast<double>(it.InTime) / it.Asked);
-  return least;
+      minimum =
+          std::min(minimum, static_cast<double>(it.InTime) / it.Requested);
+  return minimum;
 }
 
 double inTimeOfOthers(const Outcome &outcome) {
-  double asked = 0;
+  double requested = 0;
   double inTime = 0;
   for (const auto &[id, it] : outcome.Organisations)
     if (id != Flooding) {
-      asked += it.Asked;
+      requested += it.Requested;
       inTime += it.InTime;
     }
-  return inTime / asked;
+  return inTime / requested;
 }
 
 template <typename Order>
-double worstShare(const Rates &rates, const Rates &known, std::size_t slots) {
+double worstShareError(const Rates &rates, const Rates &known,
+                       std::size_t slots) {
   constexpr Load AllWantMore{0, 3, 1, 1};
   Load load = AllWantMore;
   load.Slots = slots;
   Order order(known);
-  const auto outcome = FakeInstance(slots, 1).play(
+  const auto outcome = FakeInstance(slots, 1).run(
       demandsOf(rates, load), std::chrono::seconds(10), order);
   double all = 0;
   for (const auto &[id, it] : outcome.Organisations)
@@ -147,36 +149,36 @@
 }
 
 template <typename Order>
-std::string figures(const Rates &rates, const Rates &known, const Load &load) {
-  const auto outcome = playAll<Order>(rates, known, load);
-  std::string text = "worth " + std::to_string(outcome.worth()) +
-                     " least in time " + std::to_string(leastInTime(outcome));
+std::string summary(const Rates &rates, const Rates &known, const Load &load) {
+  const auto outcome = runAll<Order>(rates, known, load);
+  std::string text = "worth " + std::to_string(outcome.weightedInTime()) +
+                     " least in time " + std::to_string(minInTime(outcome));
   for (const auto &[priority, it] : outcome.Priorities)
     text += " priority " + std::to_string(priority) + " " +
-            std::to_string(static_cast<double>(it.InTime) / it.Asked);
+            std::to_string(static_cast<double>(it.InTime) / it.Requested);
   const auto &flood = outcome.Organisations.at(Flooding);
   return text + " flooding " +
-         std::to_string(static_cast<double>(flood.InTime) / flood.Asked);
+         std::to_string(static_cast<double>(flood.InTime) / flood.Requested);
 }
 
 } // namespace
 
 TEST_CASE("FairServing_WhoKeepsToItsShareIsAnsweredInTimeBesideAFlood") {
   const auto rates = ratesOf(75);
-  CHECK(leastInTime(playAll<LineOrder>(rates, rates, Contested)) >= 0.99);
+  CHECK(minInTime(runAll<ProductOrder>(rates, rates, Contested)) >= 0.99);
 }
 
 TEST_CASE("FairServing_TheSameAmongAThousand") {
   // NOTE: each has too few statements for a percentile of its own. The large
   // ones have the same part of all as among 75.
   const auto rates = ratesOf(1000, LargeWeight * 1000 / 75);
-  const auto outcome = playAll<LineOrder>(rates, rates, Contested, 2);
+  const auto outcome = runAll<ProductOrder>(rates, rates, Contested, 2);
   CHECK(inTimeOfOthers(outcome) >= 0.99);
 }
 
 TEST_CASE("FairServing_SharesFollowTheWeightsWhereAllWantMore") {
   const auto rates = ratesOf(75);
-  CHECK(worstShare<LineOrder>(rates, rates, 2) <= 0.1);
+  CHECK(worstShareError<ProductOrder>(rates, rates, 2) <= 0.1);
 }
 
 TEST_CASE("FairServing_SharesOfAThousandFollowTheWeights") {
@@ -192,13 +194,14 @@
   TimePoint now(std::chrono::seconds(10));
   // Ten seconds of eight slots.
   for (int i = 0; i < 20000; ++i, now += Duration(500)) {
-    shares.noteWaiting(now, waiting);
+    shares.setWaiting(now, waiting);
     const OrganisationId *next = nullptr;
-    double least = 0;
+    double minimum = 0;
     for (const auto &it : waiting)
-      if (const double start = shares.startOf(it); !next || start < least) {
+      if (const double start = shares.startTagOf(it);
+          !next || start < minimum) {
         next = &it;
-        least = start;
+        minimum = start;
       }
     const Duration took(2000 + random() % 4000);
     shares.noteUse(now, *next, took, weights.of(*next));
@@ -217,13 +220,13 @@
 TEST_CASE("FairServing_OrdersWeighed" * doctest::skip()) {
   const auto rates = ratesOf(75);
   for (const auto &load : {Contested, WithinQuotas}) {
-    MESSAGE("today ", figures<LineOrder>(rates, {}, load));
-    MESSAGE("line ", figures<LineOrder>(rates, rates, load));
-    MESSAGE("priority first ", figures<PriorityFirst>(rates, rates, load));
-    MESSAGE("round robin ", figures<DeficitRoundRobin>(rates, rates, load));
+    MESSAGE("today ", summary<ProductOrder>(rates, {}, load));
+    MESSAGE("line ", summary<ProductOrder>(rates, rates, load));
+    MESSAGE("priority first ", summary<PriorityFirst>(rates, rates, load));
+    MESSAGE("round robin ", summary<DeficitRoundRobin>(rates, rates, load));
   }
-  MESSAGE("shares: today ", worstShare<LineOrder>(rates, {}, 2), " line ",
-          worstShare<LineOrder>(rates, rates, 2), " priority first ",
-          worstShare<PriorityFirst>(rates, rates, 2), " round robin ",
-          worstShare<DeficitRoundRobin>(rates, rates, 2));
+  MESSAGE("shares: today ", worstShareError<ProductOrder>(rates, {}, 2),
+          " line ", worstShareError<ProductOrder>(rates, rates, 2),
+          " priority first ", worstShareError<PriorityFirst>(rates, rates, 2),
+          " round robin ", worstShareError<DeficitRoundRobin>(rates, rates, 2));
 }
--- a/src/scheduling/tests/FairServingTest.cpp
+++ b/src/scheduling/tests/FairServingTest.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr TimePoint Now = TimePoint(std::chrono::seconds(10));
-const LineId Line{"db", InstanceId("i")};
+const LineId Queue{"db", InstanceId("i")};
 
 std::vector<WaitRank> randomRanks(std::mt19937_64 &random) {
   std::vector<WaitRank> ranks(1 + random() % 40);
@@ -66,10 +66,10 @@
   return waiters;
 }
 
-void useAtRandom(ServingLine &line, std::mt19937_64 &random) {
+void useAtRandom(ServingLine &scheduler, std::mt19937_64 &random) {
   for (auto n = random() % 30; n > 0; --n)
-    line.noteUse(Now, Line, OrganisationId(std::to_string(random() % 6)),
-                 Duration(1000 + random() % 9000));
+    scheduler.noteUse(Now, Queue, OrganisationId(std::to_string(random() % 6)),
+                      Duration(1000 + random() % 9000));
 }
 
 std::map<OrganisationId, double> sixRates() {
@@ -84,12 +84,13 @@
 TEST_CASE("FairServing_WithoutOrganisationsTheOrderIsTheEarlierOne") {
   std::mt19937_64 random(1);
   for (int n = 0; n < 2000; ++n) {
-    ServingLine line;
-    line.setRates({});
-    useAtRandom(line, random);
+    ServingLine scheduler;
+    scheduler.setRates({});
+    useAtRandom(scheduler, random);
     const auto ranks = randomRanks(random);
-    CHECK(line.inOrder(Now, Line, waitersOf(ranks)) == earlierOrder(ranks));
-    CHECK(line.heldBack(Now) == 0);
+    CHECK(scheduler.inOrder(Now, Queue, waitersOf(ranks)) ==
+          earlierOrder(ranks));
+    CHECK(scheduler.heldBack(Now) == 0);
   }
 }
 
@@ -97,13 +98,13 @@
   std::mt19937_64 random(2);
   for (int n = 0; n < 2000; ++n) {
     // One use more or less decides whether the oldest statement goes first.
-    LineOptions options;
-    options.Shares.FloorInterval = 1 + random() % 4;
-    ServingLine line(options);
-    line.setRates(sixRates());
-    useAtRandom(line, random);
+    QueueSchedulerOptions options;
+    options.Shares.OldestFirstInterval = 1 + random() % 4;
+    ServingLine scheduler(options);
+    scheduler.setRates(sixRates());
+    useAtRandom(scheduler, random);
     const auto ranks = randomRanks(random);
-    auto order = line.fairOrder(Now, Line, ranks);
+    auto order = scheduler.fairOrder(Now, Queue, ranks);
     REQUIRE(order.size() == ranks.size());
     // The first statement may be there because the oldest goes first: then it
     // is the oldest of its organisation that isn't late.
@@ -112,9 +113,9 @@
         std::find_if(ranks.begin(), ranks.end(), [&](const auto &it) {
           return !it.isLate(Now) && it.Organisation == first.Organisation;
         });
-    const bool mayBeFloor =
+    const bool mayBeOldestFirst =
         oldest != ranks.end() && first.ArrivedAt == oldest->ArrivedAt;
-    for (std::size_t i = mayBeFloor ? 1 : 0; i < order.size(); ++i)
+    for (std::size_t i = mayBeOldestFirst ? 1 : 0; i < order.size(); ++i)
       for (std::size_t j = i + 1; j < order.size(); ++j) {
         const auto &before = ranks[order[i]];
         const auto &behind = ranks[order[j]];
@@ -129,17 +130,17 @@
 }
 
 TEST_CASE("FairServing_TheFloorServesWhatHasWaitedLongest") {
-  LineOptions options;
-  ServingLine line(options);
-  line.setRates(sixRates());
+  QueueSchedulerOptions options;
+  ServingLine scheduler(options);
+  scheduler.setRates(sixRates());
   const OrganisationId busy("1");
   std::vector<WaitRank> ranks(5, {0, milliseconds(150), Now, busy});
   ranks.insert(ranks.begin(),
                {2, milliseconds(600), Now - milliseconds(90), busy});
   std::uint64_t oldestFirst = 0;
-  for (std::uint64_t n = 0; n < options.Shares.FloorInterval; ++n) {
-    line.noteUse(Now, Line, busy, milliseconds(4));
-    oldestFirst += line.fairOrder(Now, Line, ranks).front() == 0 ? 1 : 0;
+  for (std::uint64_t n = 0; n < options.Shares.OldestFirstInterval; ++n) {
+    scheduler.noteUse(Now, Queue, busy, milliseconds(4));
+    oldestFirst += scheduler.fairOrder(Now, Queue, ranks).front() == 0 ? 1 : 0;
   }
   CHECK(oldestFirst == 1);
 }
@@ -151,23 +152,23 @@
   for (int i = 0; i < 1000; ++i)
     shares.noteUse(Now + i * milliseconds(4), alone, milliseconds(4), 1);
   const TimePoint later = Now + milliseconds(4000);
-  shares.noteWaiting(later, {alone, other});
-  CHECK(shares.startOf(alone) - shares.startOf(other) <= 4000);
+  shares.setWaiting(later, {alone, other});
+  CHECK(shares.startTagOf(alone) - shares.startTagOf(other) <= 4000);
 }
 
 TEST_CASE("FairServing_UseIsForgottenAndTheStateStaysSmall") {
   FairShares shares;
-  shares.noteWaiting(Now, {OrganisationId("waits")});
+  shares.setWaiting(Now, {OrganisationId("waits")});
   for (int i = 0; i < 5000; ++i) {
     const TimePoint at = Now + i * milliseconds(10);
-    shares.noteWaiting(at, {OrganisationId("waits")});
+    shares.setWaiting(at, {OrganisationId("waits")});
     shares.noteUse(at, OrganisationId(std::to_string(i)), milliseconds(4), 1);
   }
   // The accounts of five seconds, and of the second until expired ones are
   // removed.
   CHECK(shares.size() <= 601);
-  CHECK(!shares.isOver(Now + milliseconds(50000)));
-  CHECK(shares.isOver(Now + milliseconds(60000)));
+  CHECK(!shares.isExpired(Now + milliseconds(50000)));
+  CHECK(shares.isExpired(Now + milliseconds(60000)));
 }
 
 TEST_CASE("FairServing_WithoutARateOneIsAnAverageOne") {
@@ -181,10 +182,10 @@
 }
 
 TEST_CASE("FairServing_WhereAllHaveHadTheSameTheFirstComeGoesFirst") {
-  ServingLine line;
-  line.setRates(sixRates());
-  const auto order = line.fairOrder(
-      Now, Line,
+  ServingLine scheduler;
+  scheduler.setRates(sixRates());
+  const auto order = scheduler.fairOrder(
+      Now, Queue,
       {{1, milliseconds(150), Now - milliseconds(9), OrganisationId("5")},
        {1, milliseconds(150), Now - milliseconds(8), OrganisationId("2")},
        {0, milliseconds(150), Now - milliseconds(7), OrganisationId("3")}});
@@ -192,12 +193,12 @@
 }
 
 TEST_CASE("FairServing_CountsWhoIsHeldBack") {
-  ServingLine line;
-  line.setRates(sixRates());
-  line.noteUse(Now, Line, OrganisationId("1"), milliseconds(40));
-  line.fairOrder(Now, Line,
-                 {{0, milliseconds(150), Now, OrganisationId("1")},
-                  {0, milliseconds(150), Now, OrganisationId("2")}});
-  CHECK(line.heldBack(Now) == 1);
-  CHECK(line.heldBack(Now + milliseconds(200)) == 0);
+  ServingLine scheduler;
+  scheduler.setRates(sixRates());
+  scheduler.noteUse(Now, Queue, OrganisationId("1"), milliseconds(40));
+  scheduler.fairOrder(Now, Queue,
+                      {{0, milliseconds(150), Now, OrganisationId("1")},
+                       {0, milliseconds(150), Now, OrganisationId("2")}});
+  CHECK(scheduler.heldBack(Now) == 1);
+  CHECK(scheduler.heldBack(Now + milliseconds(200)) == 0);
 }
--- a/src/scheduling/tests/FakeInstance.cpp
+++ b/src/scheduling/tests/FakeInstance.cpp
@@ -11,20 +11,20 @@
 namespace {
 
 /// A statement that has waited for this long is refused.
-constexpr Duration Patience = milliseconds(700);
-constexpr Duration LeastWork = milliseconds(2);
-constexpr Duration MostWork = milliseconds(6);
+constexpr Duration MaxWait = milliseconds(700);
+constexpr Duration MinWork = milliseconds(2);
+constexpr Duration MaxWork = milliseconds(6);
 
 } // namespace
 
-double Outcome::worth() const {
-  double asked = 0;
+double Outcome::weightedInTime() const {
+  double requested = 0;
   double inTime = 0;
   for (const auto &[priority, it] : Priorities) {
-    asked += it.Asked * std::pow(0.5, priority);
+    requested += it.Requested * std::pow(0.5, priority);
     inTime += it.InTime * std::pow(0.5, priority);
   }
-  return inTime / asked;
+  return inTime / requested;
 }
 
 std::vector<WaitRank> FakeInstance::arrivals(const std::vector<Demand> &demands,
@@ -52,21 +52,21 @@
   return all;
 }
 
-void FakeInstance::serve(TimePoint now, IOrder &order) {
+void FakeInstance::serve(TimePoint now, IServiceOrder &order) {
   std::erase_if(Waiting,
-                [&](const auto &it) { return now - it.ArrivedAt > Patience; });
+                [&](const auto &it) { return now - it.ArrivedAt > MaxWait; });
   for (auto &slot : Slots) {
     if (slot.IsBusy || Waiting.empty())
       continue;
     const auto next = static_cast<std::ptrdiff_t>(order.pick(now, Waiting));
-    std::uniform_int_distribution<std::int64_t> work(LeastWork.count(),
-                                                     MostWork.count());
+    std::uniform_int_distribution<std::int64_t> work(MinWork.count(),
+                                                     MaxWork.count());
     slot = {now + Duration(work(Random)), now, Waiting[next], true};
     Waiting.erase(Waiting.begin() + next);
   }
 }
 
-void FakeInstance::finish(TimePoint until, IOrder &order) {
+void FakeInstance::finish(TimePoint until, IServiceOrder &order) {
   for (;;) {
     auto slot = Slots.end();
     for (auto it = Slots.begin(); it != Slots.end(); ++it)
@@ -87,19 +87,19 @@
   }
 }
 
-Outcome FakeInstance::play(const std::vector<Demand> &demands, Duration time,
-                           IOrder &order) {
+Outcome FakeInstance::run(const std::vector<Demand> &demands, Duration time,
+                          IServiceOrder &order) {
   Result = {};
   TimePoint end{};
   for (const auto &it : arrivals(demands, time)) {
     finish(it.ArrivedAt, order);
-    ++Result.Organisations[it.Organisation].Asked;
-    ++Result.Priorities[it.Priority].Asked;
+    ++Result.Organisations[it.Organisation].Requested;
+    ++Result.Priorities[it.Priority].Requested;
     Waiting.push_back(it);
     serve(it.ArrivedAt, order);
     end = it.ArrivedAt;
   }
-  finish(end + Patience, order);
+  finish(end + MaxWait, order);
   return Result;
 }
 
--- a/src/scheduling/tests/FakeInstance.h
+++ b/src/scheduling/tests/FakeInstance.h
@@ -16,9 +16,9 @@
 namespace stepledge::scheduling::tests {
 
 /// An order of service under test.
-class IOrder {
+class IServiceOrder {
 public:
-  virtual ~IOrder() = default;
+  virtual ~IServiceOrder() = default;
   /// The index of the statement to serve next.
   virtual std::size_t pick(TimePoint now,
                            const std::vector<WaitRank> &ranks) = 0;
@@ -34,18 +34,18 @@
 };
 
 /// What one organisation or priority requested and received.
-struct Served {
-  int Asked = 0;
+struct ServiceTotals {
+  int Requested = 0;
   int InTime = 0;
   Duration SlotTime{};
 };
 
 struct Outcome {
-  std::map<OrganisationId, Served> Organisations;
-  std::map<int, Served> Priorities;
+  std::map<OrganisationId, ServiceTotals> Organisations;
+  std::map<int, ServiceTotals> Priorities;
   /// The fraction of the requests that were answered in time, where each
   /// priority counts for half of the next more urgent one.
-  double worth() const;
+  double weightedInTime() const;
 };
 
 class FakeInstance {
@@ -53,14 +53,14 @@
   FakeInstance(std::size_t slots, std::uint64_t seed)
       : Slots(slots), Random(seed) {}
 
-  Outcome play(const std::vector<Demand> &demands, Duration time,
-               IOrder &order);
+  Outcome run(const std::vector<Demand> &demands, Duration time,
+              IServiceOrder &order);
 
 private:
   std::vector<WaitRank> arrivals(const std::vector<Demand> &demands,
                                  Duration time);
-  void finish(TimePoint until, IOrder &order);
-  void serve(TimePoint now, IOrder &order);
+  void finish(TimePoint until, IServiceOrder &order);
+  void serve(TimePoint now, IServiceOrder &order);
 
   struct Slot {
     TimePoint Until{};
--- a/src/scheduling/tests/ServingLineTest.cpp
+++ b/src/scheduling/tests/ServingLineTest.cpp
@@ -21,27 +21,27 @@
 } // namespace
 
 TEST_CASE("ServingLine_FirstComeFirstServedWithinAPriority") {
-  const ServingLine line;
+  const ServingLine scheduler;
   const auto order =
-      line.order(Now, {rankOf(1, milliseconds(200), milliseconds(30)),
-                       rankOf(1, milliseconds(200), milliseconds(20)),
-                       rankOf(0, milliseconds(200), milliseconds(10))});
+      scheduler.order(Now, {rankOf(1, milliseconds(200), milliseconds(30)),
+                            rankOf(1, milliseconds(200), milliseconds(20)),
+                            rankOf(0, milliseconds(200), milliseconds(10))});
   CHECK(order == std::vector<std::size_t>{2, 0, 1});
 }
 
 TEST_CASE("ServingLine_LateOnesGoLastInAnOverload") {
-  const ServingLine line;
+  const ServingLine scheduler;
   const auto order =
-      line.order(Now, {rankOf(0, milliseconds(200), milliseconds(250)),
-                       rankOf(1, milliseconds(200), milliseconds(120)),
-                       rankOf(1, milliseconds(200), milliseconds(10))});
+      scheduler.order(Now, {rankOf(0, milliseconds(200), milliseconds(250)),
+                            rankOf(1, milliseconds(200), milliseconds(120)),
+                            rankOf(1, milliseconds(200), milliseconds(10))});
   CHECK(order == std::vector<std::size_t>{2, 1, 0});
 }
 
 TEST_CASE("ServingLine_QuestionsAreNeverLate") {
-  const ServingLine line;
+  const ServingLine scheduler;
   const auto order =
-      line.order(Now, {rankOf(0, milliseconds(200), milliseconds(150)),
-                       rankOf(0, Duration{}, milliseconds(10))});
+      scheduler.order(Now, {rankOf(0, milliseconds(200), milliseconds(150)),
+                            rankOf(0, Duration{}, milliseconds(10))});
   CHECK(order == std::vector<std::size_t>{1, 0});
 }
