--- a/src/balancing/OutlierDetector.cpp
+++ b/src/balancing/OutlierDetector.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// An instance below this weight has lost most of its reads.
-constexpr double HeldBelow = 0.5;
+constexpr double OutlierBelowWeight = 0.5;
 
 double medianOf(std::vector<double> values, double otherwise) {
   if (values.empty())
@@ -24,104 +24,112 @@
 
 } // namespace
 
-void OutlierDetector::add(const InstanceId &id) { Sights.try_emplace(id); }
+void OutlierDetector::add(const InstanceId &id) {
+  Observations.try_emplace(id);
+}
 
-void OutlierDetector::remove(const InstanceId &id) { Sights.erase(id); }
+void OutlierDetector::remove(const InstanceId &id) { Observations.erase(id); }
 
-OutlierDetector::Judged OutlierDetector::judge(TimePoint now,
-                                               const Sight &sight) const {
-  const auto age = static_cast<double>((now - sight.SampledAt).count());
-  const double kept =
+OutlierDetector::Estimate
+OutlierDetector::estimate(TimePoint now, const Observation &observation) const {
+  const auto age = static_cast<double>((now - observation.SampledAt).count());
+  const double decay =
       std::exp2(-age / static_cast<double>(Options.HalfLife.count()));
-  return {1.0 + (sight.Slowness - 1.0) * kept, sight.FailureRate * kept,
-          sight.Fresh * kept};
+  return {1.0 + (observation.Slowness - 1.0) * decay,
+          observation.FailureRate * decay, observation.WeightedSamples * decay};
 }
 
-OutlierDetector::Judged OutlierDetector::siblings(TimePoint now,
-                                                  const InstanceId &id) const {
+OutlierDetector::Estimate
+OutlierDetector::siblingMedian(TimePoint now, const InstanceId &id) const {
   std::vector<double> slowness;
   std::vector<double> failures;
-  for (const auto &[other, it] : Sights) {
+  for (const auto &[other, it] : Observations) {
     if (other == id)
       continue;
-    const auto judged = judge(now, it);
-    slowness.push_back(judged.Slowness);
-    failures.push_back(judged.FailureRate);
+    const auto current = estimate(now, it);
+    slowness.push_back(current.Slowness);
+    failures.push_back(current.FailureRate);
   }
   return {medianOf(std::move(slowness), 1.0),
           medianOf(std::move(failures), 0.0), 0.0};
 }
 
-bool OutlierDetector::standsOutBySlowness(TimePoint now, const InstanceId &id,
-                                          const Sight &sight,
-                                          bool isHeld) const {
-  const double factor = isHeld ? Options.SlowUntil : Options.SlowFrom;
-  return judge(now, sight).Slowness > factor * siblings(now, id).Slowness;
+bool OutlierDetector::isSlowOutlier(TimePoint now, const InstanceId &id,
+                                    const Observation &observation,
+                                    bool isReduced) const {
+  const double factor =
+      isReduced ? Options.SlowExitFactor : Options.SlowEnterFactor;
+  return estimate(now, observation).Slowness >
+         factor * siblingMedian(now, id).Slowness;
 }
 
-bool OutlierDetector::standsOutByFailures(TimePoint now, const InstanceId &id,
-                                          const Sight &sight,
-                                          bool isHeld) const {
-  const double more = isHeld ? Options.FailingUntil : Options.FailingFrom;
-  return judge(now, sight).FailureRate > siblings(now, id).FailureRate + more;
+bool OutlierDetector::isFailingOutlier(TimePoint now, const InstanceId &id,
+                                       const Observation &observation,
+                                       bool isReduced) const {
+  const double more =
+      isReduced ? Options.FailingExitMargin : Options.FailingEnterMargin;
+  return estimate(now, observation).FailureRate >
+         siblingMedian(now, id).FailureRate + more;
 }
 
-bool OutlierDetector::standsOut(TimePoint now, const InstanceId &id,
-                                const Sight &sight) const {
-  if (Sights.size() < 2 || sight.Samples < Options.LeastSamples)
+bool OutlierDetector::isOutlier(TimePoint now, const InstanceId &id,
+                                const Observation &observation) const {
+  if (Observations.size() < 2 || observation.Samples < Options.MinSamples)
     return false;
-  const bool isHeld = sight.Weight < 1.0;
-  return standsOutByFailures(now, id, sight, isHeld) ||
-         standsOutBySlowness(now, id, sight, isHeld);
+  const bool isReduced = observation.Weight < 1.0;
+  return isFailingOutlier(now, id, observation, isReduced) ||
+         isSlowOutlier(now, id, observation, isReduced);
 }
 
 double OutlierDetector::weightAfter(TimePoint now, Duration passed,
                                     const InstanceId &id,
-                                    const Sight &sight) const {
+                                    const Observation &observation) const {
   const auto time = static_cast<double>(passed.count());
-  if (!standsOut(now, id, sight))
-    return std::min(1.0, sight.Weight + time / static_cast<double>(
-                                                   Options.ReturnTime.count()));
+  if (!isOutlier(now, id, observation))
+    return std::min(
+        1.0, observation.Weight +
+                 time / static_cast<double>(Options.RecoveryTime.count()));
   // NOTE: a slow instance loses its share only by its answers, since a single
   // long statement looks the same.
-  if (!standsOutByFailures(now, id, sight, true))
-    return sight.Weight;
+  if (!isFailingOutlier(now, id, observation, true))
+    return observation.Weight;
   const double left =
-      std::exp2(-time / static_cast<double>(Options.FailingHalfTime.count()));
-  return std::max(Options.LeastWeight, sight.Weight * left);
+      std::exp2(-time / static_cast<double>(Options.FailingHalfLife.count()));
+  return std::max(Options.MinWeight, observation.Weight * left);
 }
 
 double OutlierDetector::weight(const InstanceId &id) const {
-  const auto it = Sights.find(id);
-  return it == Sights.end() ? 1.0 : it->second.Weight;
+  const auto it = Observations.find(id);
+  return it == Observations.end() ? 1.0 : it->second.Weight;
 }
 
 bool OutlierDetector::isSlow(TimePoint now, const InstanceId &id) const {
-  const auto it = Sights.find(id);
-  return it != Sights.end() && it->second.Weight < 1.0 &&
-         standsOutBySlowness(now, id, it->second, true);
+  const auto it = Observations.find(id);
+  return it != Observations.end() && it->second.Weight < 1.0 &&
+         isSlowOutlier(now, id, it->second, true);
 }
 
 int OutlierDetector::heldBack() const {
   return static_cast<int>(
-      std::count_if(Sights.begin(), Sights.end(),
-                    [](const auto &it) { return it.second.IsTold; }));
+      std::count_if(Observations.begin(), Observations.end(),
+                    [](const auto &it) { return it.second.IsReported; }));
 }
 
-bool OutlierDetector::makeRoom(TimePoint now, const InstanceId &id) {
-  const int size = static_cast<int>(Sights.size());
+bool OutlierDetector::tryReserveReduction(TimePoint now, const InstanceId &id) {
+  const int size = static_cast<int>(Observations.size());
   const int most =
-      size < 2 ? 0 : std::max(1, size / std::max(1, Options.GroupPerHeld));
-  int held = 0;
-  Sight *recovering = nullptr;
-  for (auto &[other, it] : Sights) {
+      size < 2 ? 0
+               : std::max(1, size / std::max(1, Options.InstancesPerOutlier));
+  int reduced = 0;
+  Observation *recovering = nullptr;
+  for (auto &[other, it] : Observations) {
     if (other == id || it.Weight >= 1.0)
       continue;
-    ++held;
-    if (!standsOut(now, other, it))
+    ++reduced;
+    if (!isOutlier(now, other, it))
       recovering = &it;
   }
-  if (held < most)
+  if (reduced < most)
     return true;
   if (!recovering)
     return false;
@@ -129,52 +137,52 @@
   return true;
 }
 
-void OutlierDetector::note(TimePoint now, const InstanceId &id, double slowness,
-                           bool failed) {
-  auto &it = Sights[id];
-  const auto judged = judge(now, it);
-  const double sample = std::min(slowness, Options.MostSlowness);
+void OutlierDetector::recordSample(TimePoint now, const InstanceId &id,
+                                   double slowness, bool failed) {
+  auto &it = Observations[id];
+  const auto current = estimate(now, it);
+  const double sample = std::min(slowness, Options.MaxSlowness);
   // NOTE: an instance that fails at once isn't fast: a failure doesn't show how
   // long the work takes.
   const double slowWeight = failed ? 0.0 : Options.SlownessWeight;
-  it.Slowness = judged.Slowness + (sample - judged.Slowness) * slowWeight;
+  it.Slowness = current.Slowness + (sample - current.Slowness) * slowWeight;
   const double failureWeight =
-      std::max(Options.FailureWeight, 1.0 / (1.0 + judged.Fresh));
-  it.FailureRate = judged.FailureRate +
-                   ((failed ? 1.0 : 0.0) - judged.FailureRate) * failureWeight;
-  it.Fresh = judged.Fresh + 1.0;
+      std::max(Options.FailureWeight, 1.0 / (1.0 + current.WeightedSamples));
+  it.FailureRate = current.FailureRate +
+                   ((failed ? 1.0 : 0.0) - current.FailureRate) * failureWeight;
+  it.WeightedSamples = current.WeightedSamples + 1.0;
   it.SampledAt = now;
-  it.Samples = std::min(it.Samples + 1, Options.LeastSamples);
-  if (!standsOut(now, id, it))
+  it.Samples = std::min(it.Samples + 1, Options.MinSamples);
+  if (!isOutlier(now, id, it))
     return;
-  const bool isBad =
-      failed || sample > Options.SlowUntil * siblings(now, id).Slowness;
-  if (isBad && (it.Weight < 1.0 || makeRoom(now, id)))
-    it.Weight = std::max(Options.LeastWeight, it.Weight * Options.Backoff);
+  const bool isBad = failed || sample > Options.SlowExitFactor *
+                                            siblingMedian(now, id).Slowness;
+  if (isBad && (it.Weight < 1.0 || tryReserveReduction(now, id)))
+    it.Weight = std::max(Options.MinWeight, it.Weight * Options.BackoffFactor);
 }
 
 void OutlierDetector::noteAnswer(TimePoint now, const InstanceId &id,
                                  double slowness) {
-  note(now, id, slowness, false);
+  recordSample(now, id, slowness, false);
 }
 
 void OutlierDetector::noteFailure(TimePoint now, const InstanceId &id) {
-  note(now, id, 1.0, true);
+  recordSample(now, id, 1.0, true);
 }
 
 std::vector<OutlierChange> OutlierDetector::review(TimePoint now) {
   std::vector<OutlierChange> changes;
-  for (auto &[id, it] : Sights) {
+  for (auto &[id, it] : Observations) {
     if (it.Weight < 1.0)
       it.Weight = weightAfter(now, now - ReviewedAt, id, it);
-    const bool isHeldBack =
-        it.Weight < HeldBelow || (it.IsTold && it.Weight < 1.0);
-    if (isHeldBack == it.IsTold)
+    const bool isReduced =
+        it.Weight < OutlierBelowWeight || (it.IsReported && it.Weight < 1.0);
+    if (isReduced == it.IsReported)
       continue;
-    it.IsTold = isHeldBack;
-    const auto own = judge(now, it);
-    const auto others = siblings(now, id);
-    changes.push_back({id, isHeldBack, own.Slowness, others.Slowness,
+    it.IsReported = isReduced;
+    const auto own = estimate(now, it);
+    const auto others = siblingMedian(now, id);
+    changes.push_back({id, isReduced, own.Slowness, others.Slowness,
                        own.FailureRate, others.FailureRate});
   }
   ReviewedAt = now;
--- a/src/balancing/OutlierDetector.h
+++ b/src/balancing/OutlierDetector.h
@@ -30,7 +30,7 @@
   /// Records a read that failed there, was refused or got no answer at all.
   void noteFailure(TimePoint now, const InstanceId &id);
 
-  /// The share of its usual reads that the instance gets, from LeastWeight
+  /// The share of its usual reads that the instance gets, from MinWeight
   /// to 1.
   double weight(const InstanceId &id) const;
   /// Whether the instance has a reduced share and its siblings answer in
@@ -44,43 +44,45 @@
   std::vector<OutlierChange> review(TimePoint now);
 
 private:
-  struct Sight {
+  struct Observation {
     double Slowness = 1.0;
     double FailureRate = 0.0;
     int Samples = 0;
     /// The number of samples, each weighted by its age.
-    double Fresh = 0.0;
+    double WeightedSamples = 0.0;
     TimePoint SampledAt{};
     double Weight = 1.0;
     /// Whether the instance was returned as an outlier, and not as recovered
     /// since.
-    bool IsTold = false;
+    bool IsReported = false;
   };
   /// An observation discounted by its age.
-  struct Judged {
+  struct Estimate {
     double Slowness = 1.0;
     double FailureRate = 0.0;
-    double Fresh = 0.0;
+    double WeightedSamples = 0.0;
   };
 
-  Judged judge(TimePoint now, const Sight &sight) const;
+  Estimate estimate(TimePoint now, const Observation &observation) const;
   /// The median over all instances except \p id.
-  Judged siblings(TimePoint now, const InstanceId &id) const;
-  bool standsOutBySlowness(TimePoint now, const InstanceId &id,
-                           const Sight &sight, bool isHeld) const;
-  bool standsOutByFailures(TimePoint now, const InstanceId &id,
-                           const Sight &sight, bool isHeld) const;
-  bool standsOut(TimePoint now, const InstanceId &id, const Sight &sight) const;
+  Estimate siblingMedian(TimePoint now, const InstanceId &id) const;
+  bool isSlowOutlier(TimePoint now, const InstanceId &id,
+                     const Observation &observation, bool isReduced) const;
+  bool isFailingOutlier(TimePoint now, const InstanceId &id,
+                        const Observation &observation, bool isReduced) const;
+  bool isOutlier(TimePoint now, const InstanceId &id,
+                 const Observation &observation) const;
   /// The weight after some time without an answer.
   double weightAfter(TimePoint now, Duration passed, const InstanceId &id,
-                     const Sight &sight) const;
-  void note(TimePoint now, const InstanceId &id, double slowness, bool failed);
+                     const Observation &observation) const;
+  void recordSample(TimePoint now, const InstanceId &id, double slowness,
+                    bool failed);
   /// Whether one more instance may get a reduced share. If as many as allowed
   /// have one, this restores the share of one that is no longer an outlier.
-  bool makeRoom(TimePoint now, const InstanceId &id);
+  bool tryReserveReduction(TimePoint now, const InstanceId &id);
 
   OutlierOptions Options;
-  std::map<InstanceId, Sight> Sights;
+  std::map<InstanceId, Observation> Observations;
   TimePoint ReviewedAt{};
 };
 
--- a/src/balancing/tests/OutlierDetectorTest.cpp
+++ b/src/balancing/tests/OutlierDetectorTest.cpp
@@ -28,7 +28,7 @@
       review();
     }
   }
-  void rest(Duration time) {
+  void idle(Duration time) {
     for (const TimePoint end = Now + time; Now < end; Now += milliseconds(10))
       review();
   }
@@ -36,7 +36,7 @@
     for (const auto &it : Detector.review(Now))
       Changes.push_back(it);
   }
-  bool isWhole() const {
+  bool hasFullWeights() const {
     return Detector.weight(A) == 1.0 && Detector.weight(B) == 1.0 &&
            Detector.weight(C) == 1.0;
   }
@@ -53,7 +53,7 @@
 TEST_CASE("OutlierDetector_EqualInstancesKeepAllReads") {
   Group it;
   it.answer(milliseconds(1000), 1.0, 1.4, 0.8);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
   CHECK(it.Changes.empty());
 }
 
@@ -61,7 +61,7 @@
   Group it;
   it.answer(milliseconds(200), 1.0, 1.0, 1.0);
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
-  CHECK(it.Detector.weight(it.A) == OutlierOptions().LeastWeight);
+  CHECK(it.Detector.weight(it.A) == OutlierOptions().MinWeight);
   CHECK(it.Detector.isSlow(it.Now, it.A));
   CHECK(it.Detector.weight(it.B) == 1.0);
   REQUIRE(it.Changes.size() == 1);
@@ -78,8 +78,8 @@
   it.answer(milliseconds(1500), 1.0, 1.0, 1.0);
   CHECK(it.Detector.weight(it.A) > 0.3);
   CHECK(it.Detector.weight(it.A) < 0.7);
-  it.answer(OutlierOptions().ReturnTime, 1.0, 1.0, 1.0);
-  CHECK(it.isWhole());
+  it.answer(OutlierOptions().RecoveryTime, 1.0, 1.0, 1.0);
+  CHECK(it.hasFullWeights());
   REQUIRE(it.Changes.size() == 2);
   CHECK(!it.Changes[1].IsHeldBack);
   CHECK(it.Detector.heldBack() == 0);
@@ -88,18 +88,18 @@
 TEST_CASE("OutlierDetector_InstanceThatNobodyAsksIsTriedAgain") {
   Group it;
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
-  it.rest(5 * OutlierOptions().HalfLife);
-  CHECK(it.isWhole());
+  it.idle(5 * OutlierOptions().HalfLife);
+  CHECK(it.hasFullWeights());
 }
 
 TEST_CASE("OutlierDetector_NobodyStandsOutWhereAllAreSlowOrFail") {
   Group it;
   it.answer(milliseconds(1000), 6.0, 6.0, 6.0);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
   for (int i = 0; i < 100; ++i)
     for (const auto &id : {it.A, it.B, it.C})
       it.Detector.noteFailure(it.Now, id);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
 }
 
 TEST_CASE("OutlierDetector_OneOfThreeIsHeldBackAtMost") {
@@ -142,10 +142,10 @@
   Group it;
   it.answer(milliseconds(200), 1.0, 1.0, 1.0);
   it.Detector.noteFailure(it.Now, it.A);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
   it.answer(milliseconds(200), 1.0, 1.0, 1.0);
   it.Detector.noteAnswer(it.Now, it.B, 6.0);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
 }
 
 TEST_CASE("OutlierDetector_AnInstanceAloneIsNeverHeldBack") {
@@ -178,28 +178,28 @@
 // failure.
 TEST_CASE("OutlierDetector_FewAnswersTellOfAFailingInstance") {
   Group it;
-  const auto askEach = [&it](Duration pause, int times) {
+  const auto answerEach = [&it](Duration pause, int times) {
     for (int i = 0; i < times; ++i) {
       it.Detector.noteAnswer(it.Now, it.A, 1.0);
       it.Detector.noteAnswer(it.Now, it.B, 1.0);
       it.Detector.noteAnswer(it.Now, it.C, 1.0);
-      it.rest(pause);
+      it.idle(pause);
     }
   };
-  askEach(milliseconds(700), 8);
+  answerEach(milliseconds(700), 8);
   it.Detector.noteFailure(it.Now, it.A);
   CHECK(it.Detector.weight(it.A) < 1.0);
-  it.rest(milliseconds(1000));
+  it.idle(milliseconds(1000));
   CHECK(it.Detector.weight(it.A) < 0.05);
   // No more answers arrive from it, so it is tried again.
-  it.rest(milliseconds(9000));
-  CHECK(it.isWhole());
+  it.idle(milliseconds(9000));
+  CHECK(it.hasFullWeights());
 }
 
 TEST_CASE("OutlierDetector_OneFailureOfManyReadsIsNoOutlier") {
   Group it;
   it.answer(milliseconds(2000), 1.0, 1.0, 1.0);
   it.Detector.noteFailure(it.Now, it.A);
-  it.rest(milliseconds(1000));
-  CHECK(it.isWhole());
+  it.idle(milliseconds(1000));
+  CHECK(it.hasFullWeights());
 }
--- a/src/balancing/types/OutlierOptions.h
+++ b/src/balancing/types/OutlierOptions.h
@@ -23,40 +23,40 @@
   double FailureWeight = 0.1;
   /// Caps a single answer at this multiple of the usual time, so that one long
   /// statement doesn't make an instance slow.
-  double MostSlowness = 10.0;
+  double MaxSlowness = 10.0;
   /// An instance is an outlier above this multiple of its siblings' slowness.
   /// Statements of one route differ by up to twice among themselves.
-  double SlowFrom = 2.5;
+  double SlowEnterFactor = 2.5;
   /// It stays an outlier until it is below this multiple.
-  double SlowUntil = 1.5;
+  double SlowExitFactor = 1.5;
   /// An instance is an outlier if this much more of its reads fail than of its
   /// siblings'. Two failures in a row reach it, one doesn't: a client's own
   /// error isn't enough.
-  double FailingFrom = 0.15;
+  double FailingEnterMargin = 0.15;
   /// It stays an outlier until it is below this difference.
-  double FailingUntil = 0.05;
+  double FailingExitMargin = 0.05;
   /// Number of answers below which an instance is never an outlier.
-  int LeastSamples = 5;
+  int MinSamples = 5;
   /// Observations count half after this time without an answer, so that an
   /// instance that gets no reads is tried again.
   Duration HalfLife = milliseconds(2000);
   /// The minimum share of the reads that an instance keeps: these are the
   /// probes, real reads that may have to be sent again, so the share is half of
   /// what retries may be of all reads, one in twenty.
-  double LeastWeight = 0.025;
+  double MinWeight = 0.025;
   /// Factor by which each bad answer of an outlier reduces its weight.
-  double Backoff = 0.5;
+  double BackoffFactor = 0.5;
   /// The weight of a failing outlier also halves in this time without any
   /// answer: a VM that sends it few reads stops sending it most of them within
   /// half a second, as a VM that sends it many does.
-  Duration FailingHalfTime = milliseconds(125);
+  Duration FailingHalfLife = milliseconds(125);
   /// Time from zero to full weight: each VM raises the share gradually, so that
   /// an instance that has just recovered isn't saturated at once.
-  Duration ReturnTime = milliseconds(3000);
+  Duration RecoveryTime = milliseconds(3000);
   /// One in this many instances of a group may have a reduced share, and at
   /// least one where there are two. The others must have the capacity for its
   /// reads.
-  int GroupPerHeld = 3;
+  int InstancesPerOutlier = 3;
 };
 
 /// An instance has lost most of its reads, or has got all of them back.
