--- a/src/quota/PriorityUse.h
+++ b/src/quota/PriorityRates.h
@@ -3,8 +3,8 @@
 
 /// \file Smoothed rates of one organisation's operations, by priority.
 
-#ifndef STEPLEDGE_QUOTA_PRIORITYUSE_H
-#define STEPLEDGE_QUOTA_PRIORITYUSE_H
+#ifndef STEPLEDGE_QUOTA_PRIORITYRATES_H
+#define STEPLEDGE_QUOTA_PRIORITYRATES_H
 
 #include "base/types/Time.h"
 
@@ -13,10 +13,10 @@
 
 namespace stepledge::quota {
 
-class PriorityUse {
+class PriorityRates {
 public:
   /// Operations of \p smoothing ago count for about a third.
-  explicit PriorityUse(Duration smoothing) : Smoothing(smoothing) {}
+  explicit PriorityRates(Duration smoothing) : Smoothing(smoothing) {}
 
   void note(TimePoint now, int priority, double operations = 1);
   double perSecond(TimePoint now, int priority) const;
@@ -24,24 +24,24 @@
   double lastPerSecond(int priority) const;
   /// The rate of all priorities up to and including \p last, the least urgent
   /// of them.
-  double upTo(TimePoint now, int last) const;
-  double total(TimePoint now) const;
+  double perSecondUpTo(TimePoint now, int last) const;
+  double totalPerSecond(TimePoint now) const;
   /// The time that the counts cover: less than the smoothing time if nothing
   /// was counted before, as after a start.
   double countedSeconds(TimePoint now) const;
 
 private:
-  struct Use {
+  struct Count {
     double Operations = 0;
     TimePoint NotedAt{};
   };
 
-  double decayed(TimePoint now, const Use &use) const;
+  double decayed(TimePoint now, const Count &count) const;
   Duration Smoothing;
   std::optional<TimePoint> FirstAt;
-  std::map<int, Use> Uses;
+  std::map<int, Count> Counts;
 };
 
 } // namespace stepledge::quota
 
-#endif // STEPLEDGE_QUOTA_PRIORITYUSE_H
+#endif // STEPLEDGE_QUOTA_PRIORITYRATES_H
--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -15,34 +15,34 @@
 
 /// The fraction of the operator's tolerance that is used. The rest covers
 /// leases that are used up to their end, and a home that takes over.
-constexpr double TolerancePart = 0.5;
+constexpr double ToleranceFraction = 0.5;
 /// A home that takes over begins with one operation plus its part's rate over
 /// this many seconds.
-constexpr double FirstSeconds = 0.1;
+constexpr double TakeoverSeconds = 0.1;
 /// When another hall asks, a home keeps its part's rate over this many seconds
 /// for its own hall.
-constexpr double ReserveSeconds = 0.3;
+constexpr double OwnHallReserveSeconds = 0.3;
 /// A home asks another hall at once for its own part's rate over this many
 /// seconds, since the round trip is longer and its whole hall waits.
-constexpr double FarAskSeconds = 0.25;
+constexpr double OtherHallAskSeconds = 0.25;
 /// While demand exceeds the rate, a home reserves for the more urgent requests
 /// what they may use beyond their mean within this many seconds, the lifetime
 /// of a lease: the refill covers the mean itself.
-constexpr double KeptSeconds = 1;
+constexpr double ReserveBurstSeconds = 1;
 /// Random variation rarely exceeds this many standard deviations. The reserve
 /// covers more, since VMs ask for several operations at once.
-constexpr double ChanceDeviations = 2;
-constexpr double KeptDeviations = 3;
+constexpr double DemandDeviations = 2;
+constexpr double ReserveDeviations = 3;
 /// A part that begins almost empty is full after about this time at the usual
 /// use.
-constexpr Duration FillTime = milliseconds(3000);
+constexpr Duration PartFillTime = milliseconds(3000);
 /// The maximum fraction of a hall's part that is reserved, so that a small
 /// burst leaves operations for the less urgent requests too.
-constexpr double MostKeptPart = 0.5;
+constexpr double MaxReservedFraction = 0.5;
 /// The smoothing time of the demand on a home: an organisation that exceeds its
 /// rate only for a moment is within its burst, and all its requests are treated
 /// alike.
-constexpr Duration DemandTime = milliseconds(3000);
+constexpr Duration DemandSmoothingTime = milliseconds(3000);
 
 } // namespace
 
@@ -59,9 +59,9 @@
   for (const auto &[id, it] : organisations) {
     if (it.RatePerSecond <= 0)
       continue;
-    Accounts.try_emplace(id, DemandTime).first->second.HallLimit = {
+    Accounts.try_emplace(id, DemandSmoothingTime).first->second.HallLimit = {
         it.RatePerSecond / halls,
-        (it.Burst + TolerancePart * Options.Tolerance) / halls};
+        (it.Burst + ToleranceFraction * Options.Tolerance) / halls};
   }
 }
 
@@ -86,24 +86,25 @@
   auto &account = found->second;
   const int rank = quotaPriorityOf(priority);
   if (takeLocal(now, organisation, account, rank, 1) > 0) {
-    account.OwnUse.note(now, rank);
-    account.HallDemand.note(now, rank);
+    account.OwnRates.note(now, rank);
+    account.OwnHallDemand.note(now, rank);
     return QuotaVerdict::Granted;
   }
-  const std::chrono::duration<double> ahead = Options.Forecast;
+  const std::chrono::duration<double> ahead = Options.ForecastTime;
   const int operations =
-      1 + static_cast<int>(account.OwnUse.lastPerSecond(rank) * ahead.count());
+      1 +
+      static_cast<int>(account.OwnRates.lastPerSecond(rank) * ahead.count());
   if (!isExhausted(now, account, rank) &&
       askForMore(now, organisation, account, rank, operations))
     return QuotaVerdict::Pending;
-  account.HallDemand.note(now, rank);
+  account.OwnHallDemand.note(now, rank);
   return QuotaVerdict::Exhausted;
 }
 
 bool QuotaLedger::isExhausted(TimePoint now, const Account &account,
                               int priority) {
   return std::any_of(
-      account.Wants.begin(), account.Wants.end(), [&](const auto &it) {
+      account.AskStates.begin(), account.AskStates.end(), [&](const auto &it) {
         return it.first <= priority && it.second.ExhaustedUntil > now;
       });
 }
@@ -113,40 +114,41 @@
                                  int priority) {
   const auto found = Accounts.find(organisation);
   if (found == Accounts.end())
-    return LeastRetry;
+    return MinRetryDelay;
   auto &account = found->second;
   const int rank = quotaPriorityOf(priority);
   Duration left{};
-  for (const auto &[other, want] : account.Wants)
+  for (const auto &[other, state] : account.AskStates)
     if (other <= rank)
-      left = std::max(left, want.ExhaustedUntil - now);
-  return account.Returns.next(now, rank, left, hopedRate(now, account, rank));
+      left = std::max(left, state.ExhaustedUntil - now);
+  return account.CallerRetries.next(now, rank, left,
+                                    expectedRate(now, account, rank));
 }
 
-double QuotaLedger::hopedRate(TimePoint now, const Account &account,
-                              int priority) const {
+double QuotaLedger::expectedRate(TimePoint now, const Account &account,
+                                 int priority) const {
   const double even = account.HallLimit.TokensPerSecond / VmsOfHall;
-  const double moreUrgent = account.OwnUse.upTo(now, priority - 1);
-  return std::max(account.OwnUse.perSecond(now, priority), even - moreUrgent);
+  const double moreUrgent = account.OwnRates.perSecondUpTo(now, priority - 1);
+  return std::max(account.OwnRates.perSecond(now, priority), even - moreUrgent);
 }
 
 int QuotaLedger::takeLocal(TimePoint now, const OrganisationId &organisation,
                            Account &account, int priority, int most) {
-  const int lent = takeLent(now, account, priority, most);
+  const int lent = takeLeased(now, account, priority, most);
   if (lent == most || !isHome(now, organisation))
     return lent;
   auto &part = partOf(now, account);
-  return lent + part.take(most - lent, keptFrom(now, account, priority));
+  return lent + part.take(most - lent, reserveAgainst(now, account, priority));
 }
 
-int QuotaLedger::takeLent(TimePoint now, Account &account, int priority,
-                          int most) {
+int QuotaLedger::takeLeased(TimePoint now, Account &account, int priority,
+                            int most) {
   std::erase_if(account.Leases, [&](const auto &it) {
     return it.ExpiresAt <= now || it.Operations == 0;
   });
   int taken = 0;
   for (auto &it : account.Leases) {
-    if (it.Priority < priority && it.FreeAt > now)
+    if (it.Priority < priority && it.OpenToAllAt > now)
       continue;
     const int n = std::min(most - taken, it.Operations);
     it.Operations -= n;
@@ -155,53 +157,60 @@
   return taken;
 }
 
-bool QuotaLedger::isOverAsked(TimePoint now, const Account &account) {
+bool QuotaLedger::isDemandOverRate(TimePoint now, const Account &account) {
   // NOTE: a part that has just begun would only fill its reserve, while clients
   // return with all the requests that they held back.
-  if (now - account.PartSince < FillTime)
+  if (now - account.PartSince < PartFillTime)
     return false;
   const double rate = account.HallLimit.TokensPerSecond;
   // NOTE: random variation alone makes a demand of just the rate look higher,
   // the more so the shorter it was counted.
-  const double counted = account.HallDemand.countedSeconds(now);
-  const double most = rate + ChanceDeviations * std::sqrt(rate / (2 * counted));
-  return account.HallDemand.total(now) + account.FarDemand.total(now) > most;
+  const double counted = account.OwnHallDemand.countedSeconds(now);
+  const double most = rate + DemandDeviations * std::sqrt(rate / (2 * counted));
+  return account.OwnHallDemand.totalPerSecond(now) +
+             account.OtherHallDemand.totalPerSecond(now) >
+         most;
 }
 
-double QuotaLedger::keptFor(const Account &account, double use) {
-  return std::min(KeptDeviations * std::sqrt(use * KeptSeconds),
-                  account.HallLimit.Capacity * MostKeptPart);
+double QuotaLedger::reserveFor(const Account &account, double use) {
+  return std::min(ReserveDeviations * std::sqrt(use * ReserveBurstSeconds),
+                  account.HallLimit.Capacity * MaxReservedFraction);
 }
 
-double QuotaLedger::keptFrom(TimePoint now, const Account &account,
-                             int priority) {
-  if (!isOverAsked(now, account))
+double QuotaLedger::reserveAgainst(TimePoint now, const Account &account,
+                                   int priority) {
+  if (!isDemandOverRate(now, account))
     return 0;
-  return keptFor(account, account.HallDemand.upTo(now, priority - 1) +
-                              account.FarDemand.upTo(now, priority - 1));
+  return reserveFor(
+      account, account.OwnHallDemand.perSecondUpTo(now, priority - 1) +
+                   account.OtherHallDemand.perSecondUpTo(now, priority - 1));
 }
 
-double QuotaLedger::keptFromOthers(TimePoint now, const Account &account,
-                                   int priority) {
-  const double reserve = account.HallLimit.TokensPerSecond * ReserveSeconds;
+double QuotaLedger::reserveAgainstOtherHall(TimePoint now,
+                                            const Account &account,
+                                            int priority) {
+  const double reserve =
+      account.HallLimit.TokensPerSecond * OwnHallReserveSeconds;
   // NOTE: a hall that asks others has used up its own part.
-  if (!isOverAsked(now, account))
+  if (!isDemandOverRate(now, account))
     return std::clamp(
-        reserve + keptFor(account, account.FarDemand.upTo(now, priority - 1)),
-        reserve, std::max(reserve, account.HallLimit.Capacity * MostKeptPart));
+        reserve + reserveFor(account, account.OtherHallDemand.perSecondUpTo(
+                                          now, priority - 1)),
+        reserve,
+        std::max(reserve, account.HallLimit.Capacity * MaxReservedFraction));
   // NOTE: more urgent requests of another hall go before less urgent ones of
   // this hall.
-  const double all = account.HallDemand.total(now);
+  const double all = account.OwnHallDemand.totalPerSecond(now);
   const double share =
-      all > 0 ? account.HallDemand.upTo(now, priority) / all : 1;
-  return std::max(reserve * share, keptFrom(now, account, priority));
+      all > 0 ? account.OwnHallDemand.perSecondUpTo(now, priority) / all : 1;
+  return std::max(reserve * share, reserveAgainst(now, account, priority));
 }
 
 TokenBucket &QuotaLedger::partOf(TimePoint now, Account &account) {
   const auto &limit = account.HallLimit;
   // NOTE: it isn't known here what the previous home has lent.
   if (!account.Part) {
-    account.Part.emplace(now, 1 + FirstSeconds * limit.TokensPerSecond);
+    account.Part.emplace(now, 1 + TakeoverSeconds * limit.TokensPerSecond);
     account.PartSince = now;
   }
   account.Part->refill(now, limit);
@@ -210,13 +219,14 @@
 
 void QuotaLedger::noteDemand(TimePoint now, const QuotaAsk &ask,
                              Account &account, int operations) {
-  auto &demand = ask.IsFromOtherHall ? account.FarDemand : account.HallDemand;
+  auto &demand =
+      ask.IsFromOtherHall ? account.OtherHallDemand : account.OwnHallDemand;
   demand.note(now, ask.Priority, operations);
 }
 
-bool QuotaLedger::isBad(TimePoint now, const std::string &ip) const {
-  const auto it = BadHomes.find(ip);
-  return it != BadHomes.end() && it->second > now;
+bool QuotaLedger::isUnavailable(TimePoint now, const std::string &ip) const {
+  const auto it = UnavailableHomes.find(ip);
+  return it != UnavailableHomes.end() && it->second > now;
 }
 
 std::optional<std::string>
@@ -224,7 +234,7 @@
                     const OrganisationId &organisation) const {
   for (const auto &it : Homes.homesOf(hall, organisation)) {
     const bool isOwn = it == Options.OwnIp;
-    if (isOwn ? !IsStopping : !isBad(now, it))
+    if (isOwn ? !IsStopping : !isUnavailable(now, it))
       return it;
   }
   return std::nullopt;
@@ -237,14 +247,14 @@
 
 bool QuotaLedger::askForMore(TimePoint now, const OrganisationId &organisation,
                              Account &account, int priority, int operations) {
-  auto &want = account.Wants[priority];
-  if (want.Ask || want.NextAskAt > now)
+  auto &state = account.AskStates[priority];
+  if (state.Ask || state.NextAskAt > now)
     return true;
   const auto home = homeIn(now, Options.OwnHall, organisation);
   if (home == Options.OwnIp)
     return askOtherHall(now, organisation, account, priority, operations);
   if (home)
-    sendAsk(now, *home, want, {0, organisation, operations, false, priority});
+    sendAsk(now, *home, state, {0, organisation, operations, false, priority});
   // NOTE: without any home the operation waits until its own time limit.
   return true;
 }
@@ -252,82 +262,83 @@
 bool QuotaLedger::askOtherHall(TimePoint now,
                                const OrganisationId &organisation,
                                Account &account, int priority, int operations) {
-  auto &want = account.Wants[priority];
+  auto &state = account.AskStates[priority];
   auto halls = Homes.halls();
   // NOTE: the halls are asked in turn, since one that always has a few
   // operations would keep the others from being asked.
   std::rotate(halls.begin(),
-              std::upper_bound(halls.begin(), halls.end(), want.LastHall),
+              std::upper_bound(halls.begin(), halls.end(), state.LastHall),
               halls.end());
   for (const auto &hall : halls) {
-    const auto empty = want.EmptyHalls.find(hall);
-    const bool isEmpty = empty != want.EmptyHalls.end() && empty->second > now;
+    const auto empty = state.ExhaustedHalls.find(hall);
+    const bool isEmpty =
+        empty != state.ExhaustedHalls.end() && empty->second > now;
     const auto home = homeIn(now, hall, organisation);
     if (hall == Options.OwnHall || isEmpty || !home)
       continue;
-    const int byRate =
-        static_cast<int>(account.HallLimit.TokensPerSecond * FarAskSeconds);
-    want.LastHall = hall;
-    sendAsk(now, *home, want,
+    const int byRate = static_cast<int>(account.HallLimit.TokensPerSecond *
+                                        OtherHallAskSeconds);
+    state.LastHall = hall;
+    sendAsk(now, *home, state,
             {0, organisation, std::max(operations, byRate), true, priority});
     return true;
   }
-  want.ExhaustedUntil = now + timeToNext(now, account, priority);
+  state.ExhaustedUntil = now + timeToNext(now, account, priority);
   return false;
 }
 
-void QuotaLedger::sendAsk(TimePoint now, const std::string &ip, Want &want,
+void QuotaLedger::sendAsk(TimePoint now, const std::string &ip, AskState &state,
                           QuotaAsk ask) {
   ask.Number = ++LastNumber;
   if (Io.askHome(ip, ask)) {
-    want.Ask = {ip, ask.Number, now, ask.IsFromOtherHall};
+    state.Ask = {ip, ask.Number, now, ask.IsFromOtherHall};
     Unconnected.erase(ip);
     return;
   }
-  want.NextAskAt = now + Options.AskPause;
+  state.NextAskAt = now + Options.AskRetryDelay;
   const auto since = Unconnected.try_emplace(ip, now).first->second;
   if (now - since > Options.SilenceLimit)
-    noteSilent(now, ip);
+    noteUnavailable(now, ip);
 }
 
-void QuotaLedger::noteSilent(TimePoint now, const std::string &ip) {
-  BadHomes[ip] = now + Options.BadHomePause;
+void QuotaLedger::noteUnavailable(TimePoint now, const std::string &ip) {
+  UnavailableHomes[ip] = now + Options.UnavailableHomePause;
   Unconnected.erase(ip);
 }
 
 Duration QuotaLedger::timeToNext(TimePoint now, const Account &account,
                                  int priority) {
   const double tokens = account.Part ? account.Part->tokens() : 0;
-  const double needed = 1 + keptFrom(now, account, priority);
+  const double needed = 1 + reserveAgainst(now, account, priority);
   const double seconds =
       std::max(0.0, needed - tokens) / account.HallLimit.TokensPerSecond;
   const auto time = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(std::min(seconds, 1.0)));
-  return std::clamp(time, LeastRetry, MostRetry);
+  return std::clamp(time, MinRetryDelay, MaxRetryDelay);
 }
 
-int QuotaLedger::surelyUsed(int operations) const {
+int QuotaLedger::likelyUsed(int operations) const {
   // The operations asked for ahead are the asker's expected use within
   // Forecast, from which its use within the lifetime of a lease follows.
-  const std::chrono::duration<double> life = Options.LeaseTime;
-  const std::chrono::duration<double> ahead = Options.Forecast;
-  const double used = (operations - 1) * life.count() / ahead.count();
+  const std::chrono::duration<double> leaseTime = Options.LeaseTime;
+  const std::chrono::duration<double> ahead = Options.ForecastTime;
+  const double used = (operations - 1) * leaseTime.count() / ahead.count();
   const int surely = static_cast<int>(used - 2 * std::sqrt(used));
   return 1 + std::clamp(surely, 0, operations - 1);
 }
 
-int QuotaLedger::giveTo(TimePoint now, const QuotaAsk &ask, Account &account) {
+int QuotaLedger::grantTo(TimePoint now, const QuotaAsk &ask, Account &account) {
   // NOTE: the number may come from a VM of another version, and must never add
   // to the part.
   const int most = std::max(1, ask.Operations);
   if (!ask.IsFromOtherHall)
     return takeLocal(now, ask.Organisation, account, ask.Priority,
-                     isOverAsked(now, account) ? surelyUsed(most) : most);
+                     isDemandOverRate(now, account) ? likelyUsed(most) : most);
   if (!isHome(now, ask.Organisation))
     return 0;
   // NOTE: operations that other halls have lent aren't lent to a third hall.
   return partOf(now, account)
-      .take(most, keptFromOthers(now, account, ask.Priority));
+      .take(most, reserveAgainstOtherHall(now, account, ask.Priority));
 }
 
 void QuotaLedger::asked(TimePoint now, const std::string &ip,
@@ -342,7 +353,7 @@
     grant.Result = GrantResult::Stopping;
   } else if (found != Accounts.end()) {
     auto &account = found->second;
-    grant.Operations = giveTo(now, ask, account);
+    grant.Operations = grantTo(now, ask, account);
     if (grant.Operations > 0)
       grant.Result = GrantResult::Lent;
     else if (ask.IsFromOtherHall || isExhausted(now, account, ask.Priority) ||
@@ -357,14 +368,14 @@
 }
 
 void QuotaLedger::noteExhausted(TimePoint now, const std::string &ip,
-                                Want &want, const OpenAsk &ask,
+                                AskState &state, const PendingAsk &ask,
                                 Duration retryAfter) {
   if (!ask.IsToOtherHall) {
-    want.ExhaustedUntil = now + retryAfter;
+    state.ExhaustedUntil = now + retryAfter;
     return;
   }
   if (const auto hall = HallOf.find(ip); hall != HallOf.end())
-    want.EmptyHalls[hall->second] = now + Options.HallAskInterval;
+    state.ExhaustedHalls[hall->second] = now + Options.HallAskInterval;
 }
 
 void QuotaLedger::addLease(Account &account, int priority, int operations,
@@ -372,7 +383,7 @@
   // NOTE: counted from the ask, so that a grant that waited while this VM was
   // paused is void.
   const Lease lease{std::max(0, operations), askedAt + Options.LeaseTime,
-                    priority, askedAt + Options.Forecast};
+                    priority, askedAt + Options.ForecastTime};
   const auto place =
       std::find_if(account.Leases.begin(), account.Leases.end(),
                    [&](const auto &it) { return it.Priority > priority; });
@@ -386,25 +397,25 @@
     return;
   auto &account = found->second;
   const auto asked = std::find_if(
-      account.Wants.begin(), account.Wants.end(), [&](const auto &it) {
+      account.AskStates.begin(), account.AskStates.end(), [&](const auto &it) {
         return it.second.Ask && it.second.Ask->Number == grant.Number;
       });
-  if (asked == account.Wants.end())
+  if (asked == account.AskStates.end())
     return;
-  auto &want = asked->second;
-  const OpenAsk ask = *std::exchange(want.Ask, std::nullopt);
+  auto &state = asked->second;
+  const PendingAsk ask = *std::exchange(state.Ask, std::nullopt);
   switch (grant.Result) {
   case GrantResult::Lent:
     addLease(account, asked->first, grant.Operations, ask.AskedAt);
     break;
   case GrantResult::Unknown:
-    want.NextAskAt = now + Options.AskPause;
+    state.NextAskAt = now + Options.AskRetryDelay;
     return;
   case GrantResult::Exhausted:
-    noteExhausted(now, ip, want, ask, grant.RetryAfter);
+    noteExhausted(now, ip, state, ask, grant.RetryAfter);
     break;
   case GrantResult::Stopping:
-    BadHomes[ip] = now + Options.BadHomePause;
+    UnavailableHomes[ip] = now + Options.UnavailableHomePause;
     break;
   }
   Io.quotaChanged(grant.Organisation);
@@ -413,16 +424,16 @@
 void QuotaLedger::homeLost(TimePoint now, const std::string &ip) {
   std::set<OrganisationId> waiting;
   for (auto &[id, account] : Accounts) {
-    for (auto &[priority, want] : account.Wants) {
-      if (!want.Ask || want.Ask->Ip != ip)
+    for (auto &[priority, state] : account.AskStates) {
+      if (!state.Ask || state.Ask->Ip != ip)
         continue;
-      want.Ask.reset();
+      state.Ask.reset();
       waiting.insert(id);
     }
   }
   if (waiting.empty())
     return;
-  noteSilent(now, ip);
+  noteUnavailable(now, ip);
   for (const auto &it : waiting)
     Io.quotaChanged(it);
 }
@@ -430,19 +441,20 @@
 void QuotaLedger::tick(TimePoint now) {
   std::set<std::string> silent;
   for (const auto &[id, account] : Accounts)
-    for (const auto &[priority, want] : account.Wants)
-      if (want.Ask && now - want.Ask->AskedAt > Options.SilenceLimit)
-        silent.insert(want.Ask->Ip);
+    for (const auto &[priority, state] : account.AskStates)
+      if (state.Ask && now - state.Ask->AskedAt > Options.SilenceLimit)
+        silent.insert(state.Ask->Ip);
   for (const auto &it : silent)
     homeLost(now, it);
-  std::erase_if(BadHomes, [&](const auto &it) { return it.second <= now; });
-  if (now - ReviewedAt < Options.PartInterval)
+  std::erase_if(UnavailableHomes,
+                [&](const auto &it) { return it.second <= now; });
+  if (now - PartsUpdatedAt < Options.PartUpdateInterval)
     return;
-  ReviewedAt = now;
-  reviewParts(now);
+  PartsUpdatedAt = now;
+  updateParts(now);
 }
 
-void QuotaLedger::reviewParts(TimePoint now) {
+void QuotaLedger::updateParts(TimePoint now) {
   for (auto &[id, account] : Accounts) {
     if (isHome(now, id))
       partOf(now, account);
--- a/src/quota/QuotaLedger.h
+++ b/src/quota/QuotaLedger.h
@@ -20,9 +20,9 @@
 #include "control/types/Configuration.h"
 #include "quota/IOperationQuota.h"
 #include "quota/IQuotaIo.h"
-#include "quota/PriorityUse.h"
+#include "quota/PriorityRates.h"
 #include "quota/QuotaHomes.h"
-#include "quota/RetryTimes.h"
+#include "quota/RetryDelays.h"
 #include "quota/TokenBucket.h"
 
 #include <deque>
@@ -63,50 +63,51 @@
   struct Lease {
     int Operations = 0;
     TimePoint ExpiresAt{};
-    /// The least urgent priority that may use the lease before FreeAt.
+    /// The least urgent priority that may use the lease before OpenToAllAt.
     int Priority = 0;
-    TimePoint FreeAt{};
+    TimePoint OpenToAllAt{};
   };
-  struct OpenAsk {
+  struct PendingAsk {
     std::string Ip;
     std::uint64_t Number = 0;
     TimePoint AskedAt{};
     bool IsToOtherHall = false;
   };
   /// The state of the asks for one priority.
-  struct Want {
-    std::optional<OpenAsk> Ask;
+  struct AskState {
+    std::optional<PendingAsk> Ask;
     TimePoint NextAskAt{};
     TimePoint ExhaustedUntil{};
     /// The other halls that have nothing left either, and until when they
     /// aren't asked.
-    std::map<HallId, TimePoint> EmptyHalls;
+    std::map<HallId, TimePoint> ExhaustedHalls;
     /// The other hall that was asked last.
     HallId LastHall;
   };
   /// The state that this VM keeps of one organisation.
   struct Account {
-    explicit Account(Duration demandTime)
-        : HallDemand(demandTime), FarDemand(demandTime) {}
+    explicit Account(Duration demandSmoothingTime)
+        : OwnHallDemand(demandSmoothingTime),
+          OtherHallDemand(demandSmoothingTime) {}
 
     BucketLimit HallLimit;
     /// The most urgent first.
     std::deque<Lease> Leases;
-    std::map<int, Want> Wants;
+    std::map<int, AskState> AskStates;
     /// The hall's part, if this VM is its home.
     std::optional<TokenBucket> Part;
     /// When this VM began to keep the part.
     TimePoint PartSince{};
     /// Operations granted to clients of this VM in about the last second.
-    PriorityUse OwnUse{milliseconds(1000)};
+    PriorityRates OwnRates{milliseconds(1000)};
     /// Operations that were asked of this VM as the home, granted or not, by
     /// its hall and by others.
-    PriorityUse HallDemand;
-    PriorityUse FarDemand;
-    RetryTimes Returns;
+    PriorityRates OwnHallDemand;
+    PriorityRates OtherHallDemand;
+    RetryDelays CallerRetries;
   };
 
-  bool isBad(TimePoint now, const std::string &ip) const;
+  bool isUnavailable(TimePoint now, const std::string &ip) const;
   /// The home to ask in \p hall; none if no home is available.
   std::optional<std::string> homeIn(TimePoint now, const HallId &hall,
                                     const OrganisationId &organisation) const;
@@ -114,18 +115,20 @@
   /// Takes up to \p most operations from the leases, then from the hall's part.
   int takeLocal(TimePoint now, const OrganisationId &organisation,
                 Account &account, int priority, int most);
-  static int takeLent(TimePoint now, Account &account, int priority, int most);
+  static int takeLeased(TimePoint now, Account &account, int priority,
+                        int most);
   TokenBucket &partOf(TimePoint now, Account &account);
   /// The reserve for more urgent requests that use \p use operations per
   /// second.
-  static double keptFor(const Account &account, double use);
+  static double reserveFor(const Account &account, double use);
   /// The reserve of the hall's part that \p priority may not use.
-  static double keptFrom(TimePoint now, const Account &account, int priority);
-  /// The same where another hall asks.
-  static double keptFromOthers(TimePoint now, const Account &account,
+  static double reserveAgainst(TimePoint now, const Account &account,
                                int priority);
+  /// The same where another hall asks.
+  static double reserveAgainstOtherHall(TimePoint now, const Account &account,
+                                        int priority);
   /// Whether the demand on this home exceeds its part's rate.
-  static bool isOverAsked(TimePoint now, const Account &account);
+  static bool isDemandOverRate(TimePoint now, const Account &account);
   /// Whether this priority or a more urgent one was refused and must wait for
   /// the refill.
   static bool isExhausted(TimePoint now, const Account &account, int priority);
@@ -140,24 +143,26 @@
   /// Begins the parts that this VM has become the home of, so that they fill
   /// before operations are asked for, and drops those that it is no longer the
   /// home of.
-  void reviewParts(TimePoint now);
-  void noteSilent(TimePoint now, const std::string &ip);
-  void sendAsk(TimePoint now, const std::string &ip, Want &want, QuotaAsk ask);
+  void updateParts(TimePoint now);
+  void noteUnavailable(TimePoint now, const std::string &ip);
+  void sendAsk(TimePoint now, const std::string &ip, AskState &state,
+               QuotaAsk ask);
   /// How many of the \p operations that a VM asks for are unlikely to expire
   /// unused: where demand exceeds the quota, operations that expire at one VM
   /// are missing at another.
-  int surelyUsed(int operations) const;
-  int giveTo(TimePoint now, const QuotaAsk &ask, Account &account);
+  int likelyUsed(int operations) const;
+  int grantTo(TimePoint now, const QuotaAsk &ask, Account &account);
   /// The time until the hall's part has an operation for \p priority again.
   static Duration timeToNext(TimePoint now, const Account &account,
                              int priority);
   /// The operations per second that this VM's clients of \p priority can
   /// expect.
-  double hopedRate(TimePoint now, const Account &account, int priority) const;
+  double expectedRate(TimePoint now, const Account &account,
+                      int priority) const;
   void addLease(Account &account, int priority, int operations,
                 TimePoint askedAt);
-  void noteExhausted(TimePoint now, const std::string &ip, Want &want,
-                     const OpenAsk &ask, Duration retryAfter);
+  void noteExhausted(TimePoint now, const std::string &ip, AskState &state,
+                     const PendingAsk &ask, Duration retryAfter);
 
   QuotaOptions Options;
   IQuotaIo &Io;
@@ -166,11 +171,11 @@
   int VmsOfHall = 1;
   std::map<OrganisationId, Account> Accounts;
   /// Unavailable homes, and until when they aren't asked.
-  std::map<std::string, TimePoint> BadHomes;
+  std::map<std::string, TimePoint> UnavailableHomes;
   /// Homes that aren't connected, and since when a connection to them is
   /// needed.
   std::map<std::string, TimePoint> Unconnected;
-  TimePoint ReviewedAt{};
+  TimePoint PartsUpdatedAt{};
   std::uint64_t LastNumber = 0;
   bool IsStopping = false;
 };
--- a/src/quota/RetryTimes.h
+++ b/src/quota/RetryDelays.h
@@ -4,8 +4,8 @@
 /// \file Retry delays of refused callers, chosen so that they return no faster
 /// than operations become available.
 
-#ifndef STEPLEDGE_QUOTA_RETRYTIMES_H
-#define STEPLEDGE_QUOTA_RETRYTIMES_H
+#ifndef STEPLEDGE_QUOTA_RETRYDELAYS_H
+#define STEPLEDGE_QUOTA_RETRYDELAYS_H
 
 #include "base/types/Time.h"
 
@@ -16,10 +16,10 @@
 
 /// The bounds of a retry delay: a client need not return sooner, nor much
 /// later.
-constexpr Duration LeastRetry = milliseconds(20);
-constexpr Duration MostRetry = milliseconds(1000);
+constexpr Duration MinRetryDelay = milliseconds(20);
+constexpr Duration MaxRetryDelay = milliseconds(1000);
 
-class RetryTimes {
+class RetryDelays {
 public:
   /// The delay of one more caller of \p priority: at least \p least, and after
   /// the earlier callers of the same or a more urgent priority that got a retry
@@ -28,10 +28,10 @@
 
 private:
   /// The latest retry time given to a caller, by priority.
-  std::map<int, TimePoint> Last;
-  std::uint32_t Told = 0;
+  std::map<int, TimePoint> LastRetryAt;
+  std::uint32_t SpreadCount = 0;
 };
 
 } // namespace stepledge::quota
 
-#endif // STEPLEDGE_QUOTA_RETRYTIMES_H
+#endif // STEPLEDGE_QUOTA_RETRYDELAYS_H
--- a/src/quota/tests/QuotaScheduleTest.cpp
+++ b/src/quota/tests/QuotaScheduleTest.cpp
@@ -24,22 +24,22 @@
 }
 
 /// A random time of at least \p leastMs, and less than \p spreadMs more.
-Duration drawnTime(SimulatedQuotas &it, std::int64_t leastMs,
-                   std::uint64_t spreadMs) {
+Duration randomTime(SimulatedQuotas &it, std::int64_t leastMs,
+                    std::uint64_t spreadMs) {
   return milliseconds(leastMs +
                       static_cast<std::int64_t>(it.random()() % spreadMs));
 }
 
-void disturb(SimulatedQuotas &it, bool &isCut) {
+void injectFault(SimulatedQuotas &it, bool &isPartitioned) {
   const std::size_t vm = it.random()() % it.size();
   switch (it.random()() % 6) {
   case 0:
-    isCut = !isCut;
-    return it.cutFirstHall(isCut);
+    isPartitioned = !isPartitioned;
+    return it.partitionFirstHall(isPartitioned);
   case 1:
     return it.restart(vm);
   case 2:
-    return it.freeze(vm, drawnTime(it, 200, 4000));
+    return it.pause(vm, randomTime(it, 200, 4000));
   case 3:
     return it.setListed(vm, false);
   case 4:
@@ -57,13 +57,13 @@
     CAPTURE(seed);
     CAPTURE(rate);
     SimulatedQuotas it(seed, 3, 5, rate, rate);
-    bool isCut = false;
-    it.play(milliseconds(4000), 0);
+    bool isPartitioned = false;
+    it.run(milliseconds(4000), 0);
     for (int i = 0; i < 12; ++i) {
-      it.play(drawnTime(it, 300, 1500), 3 * rate);
-      disturb(it, isCut);
+      it.run(randomTime(it, 300, 1500), 3 * rate);
+      injectFault(it, isPartitioned);
     }
-    CHECK(it.mostIn(Window) <= allowed(rate, rate));
+    CHECK(it.maxIn(Window) <= allowed(rate, rate));
   }
 }
 
@@ -71,13 +71,13 @@
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
     SimulatedQuotas it(seed, 3, 5, 100, 100);
-    it.play(milliseconds(4000), 0);
+    it.run(milliseconds(4000), 0);
     for (int i = 0; i < 5; ++i) {
-      it.play(milliseconds(900), 300);
+      it.run(milliseconds(900), 300);
       it.restartAll();
     }
-    it.play(milliseconds(3000), 300);
-    CHECK(it.mostIn(Window) <= allowed(100, 100));
+    it.run(milliseconds(3000), 300);
+    CHECK(it.maxIn(Window) <= allowed(100, 100));
   }
 }
 
@@ -87,18 +87,19 @@
     CAPTURE(seed);
     CAPTURE(rate);
     SimulatedQuotas it(seed, 3, 5, rate, rate);
-    it.setReturns(3);
-    bool isCut = false;
-    it.play(milliseconds(4000), 0);
+    it.setMaxReturns(3);
+    bool isPartitioned = false;
+    it.run(milliseconds(4000), 0);
     for (int i = 0; i < 12; ++i) {
       // The requests and the VMs that get them change with each fault.
       const double urgent = static_cast<double>(it.random()() % 20) / 10;
-      const double toFirst = static_cast<double>(it.random()() % 3) / 2;
-      it.playAll(drawnTime(it, 300, 1500),
-                 {{0, urgent * rate}, {1, rate}, {3, 2 * rate}}, toFirst);
-      disturb(it, isCut);
+      const double firstVmFraction = static_cast<double>(it.random()() % 3) / 2;
+      it.runAll(randomTime(it, 300, 1500),
+                {{0, urgent * rate}, {1, rate}, {3, 2 * rate}},
+                firstVmFraction);
+      injectFault(it, isPartitioned);
     }
-    CHECK(it.mostIn(Window) <= allowed(rate, rate));
+    CHECK(it.maxIn(Window) <= allowed(rate, rate));
   }
 }
 
@@ -108,15 +109,15 @@
     CAPTURE(seed);
     CAPTURE(rate);
     SimulatedQuotas it(seed, 3, 5, rate, rate);
-    it.play(milliseconds(4000), 0);
+    it.run(milliseconds(4000), 0);
     // Every VM restarts once within about a window; some are paused before, so
     // that answers reach them late.
     for (std::size_t vm = 0; vm < it.size(); ++vm) {
-      it.playAll(drawnTime(it, 100, 500), {{0, rate}, {2, 3 * rate}});
-      it.freeze(it.random()() % it.size(), drawnTime(it, 100, 2000));
+      it.runAll(randomTime(it, 100, 500), {{0, rate}, {2, 3 * rate}});
+      it.pause(it.random()() % it.size(), randomTime(it, 100, 2000));
       it.restart(vm);
     }
-    it.playAll(milliseconds(3000), {{0, rate}, {2, 3 * rate}});
-    CHECK(it.mostIn(Window) <= allowed(rate, rate));
+    it.runAll(milliseconds(3000), {{0, rate}, {2, 3 * rate}});
+    CHECK(it.maxIn(Window) <= allowed(rate, rate));
   }
 }
--- a/src/quota/tests/RetryTimesTest.cpp
+++ b/src/quota/tests/RetryDelaysTest.cpp
@@ -3,7 +3,7 @@
 
 /// \file Tests of the retry delays of many callers that are refused at once.
 
-#include "quota/RetryTimes.h"
+#include "quota/RetryDelays.h"
 
 #include <doctest/doctest.h>
 
@@ -19,38 +19,40 @@
 } // namespace
 
 TEST_CASE("RetryTimes_CallersArriveAtTheRateOfTheRefill") {
-  RetryTimes it;
+  RetryDelays it;
   Duration last{};
   for (int n = 0; n < 40; ++n) {
-    const auto pause = it.next(Start, 0, milliseconds(30), 50);
-    CHECK(pause == milliseconds(30 + 20 * n));
-    last = pause;
+    const auto delay = it.next(Start, 0, milliseconds(30), 50);
+    CHECK(delay == milliseconds(30 + 20 * n));
+    last = delay;
   }
-  CHECK(last <= MostRetry);
+  CHECK(last <= MaxRetryDelay);
 }
 
 TEST_CASE("RetryTimes_TheMoreUrgentComeFirst") {
-  RetryTimes it;
+  RetryDelays it;
   for (int n = 0; n < 5; ++n)
-    it.next(Start, 2, LeastRetry, 20);
-  CHECK(it.next(Start, 0, LeastRetry, 20) == LeastRetry);
-  CHECK(it.next(Start, 1, LeastRetry, 20) == LeastRetry + milliseconds(50));
+    it.next(Start, 2, MinRetryDelay, 20);
+  CHECK(it.next(Start, 0, MinRetryDelay, 20) == MinRetryDelay);
+  CHECK(it.next(Start, 1, MinRetryDelay, 20) ==
+        MinRetryDelay + milliseconds(50));
 }
 
 TEST_CASE("RetryTimes_TheRestIsSpreadOverTheLastHalfSecond") {
-  RetryTimes it;
-  std::set<Duration> pauses;
+  RetryDelays it;
+  std::set<Duration> delays;
   for (int n = 0; n < 64; ++n) {
-    const auto pause = it.next(Start, 0, MostRetry, 0);
-    CHECK(pause > MostRetry / 2);
-    CHECK(pause <= MostRetry);
-    pauses.insert(pause);
+    const auto delay = it.next(Start, 0, MaxRetryDelay, 0);
+    CHECK(delay > MaxRetryDelay / 2);
+    CHECK(delay <= MaxRetryDelay);
+    delays.insert(delay);
   }
-  CHECK(pauses.size() >= 63);
+  CHECK(delays.size() >= 63);
 }
 
 TEST_CASE("RetryTimes_NobodyBeforeMeansTheLeast") {
-  RetryTimes it;
-  CHECK(it.next(Start, 0, Duration{}, 1000) == LeastRetry);
-  CHECK(it.next(Start + milliseconds(5000), 0, Duration{}, 1000) == LeastRetry);
+  RetryDelays it;
+  CHECK(it.next(Start, 0, Duration{}, 1000) == MinRetryDelay);
+  CHECK(it.next(Start + milliseconds(5000), 0, Duration{}, 1000) ==
+        MinRetryDelay);
 }
--- a/src/quota/tests/SimulatedQuotas.cpp
+++ b/src/quota/tests/SimulatedQuotas.cpp
@@ -14,9 +14,9 @@
 constexpr Duration Step = milliseconds(2);
 constexpr Duration Delay = milliseconds(1);
 /// How long a statement waits for its quota.
-constexpr Duration Patience = milliseconds(700);
+constexpr Duration MaxWait = milliseconds(700);
 /// How long a VM that restarts is unreachable.
-constexpr Duration Away = milliseconds(500);
+constexpr Duration RestartTime = milliseconds(500);
 const OrganisationId TheOrganisation("o");
 
 std::string ipOf(std::size_t vm) { return "10.0.0." + std::to_string(vm); }
@@ -25,7 +25,7 @@
 
 struct SimulatedQuotas::Vm : IQuotaIo {
   Vm(SimulatedQuotas &owner, std::size_t number, HallId hall, int halls)
-      : All(owner), Number(number), Hall(std::move(hall)), Halls(halls) {
+      : Simulation(owner), Number(number), Hall(std::move(hall)), Halls(halls) {
     begin();
   }
 
@@ -39,28 +39,28 @@
   }
 
   bool askHome(const std::string &ip, const QuotaAsk &ask) override {
-    All.send(Number, ip, ask);
+    Simulation.send(Number, ip, ask);
     return true;
   }
   void answerAsker(const std::string &ip, const QuotaGrant &grant) override {
-    All.send(Number, ip, grant);
+    Simulation.send(Number, ip, grant);
   }
   void quotaChanged(const OrganisationId &organisation) override {
     (void)organisation;
-    MustPump = true;
+    HasQuotaChanged = true;
   }
 
-  SimulatedQuotas &All;
+  SimulatedQuotas &Simulation;
   std::size_t Number;
   HallId Hall;
   int Halls;
   std::unique_ptr<QuotaLedger> Ledger;
   std::deque<Caller> Waiting;
-  bool MustPump = false;
+  bool HasQuotaChanged = false;
   bool IsListed = true;
   /// The VM is paused or unreachable until then.
-  TimePoint StillUntil{};
-  int Life = 0;
+  TimePoint PausedUntil{};
+  int Incarnation = 0;
 };
 
 SimulatedQuotas::SimulatedQuotas(std::uint64_t seed, int halls, int vmsPerHall,
@@ -104,12 +104,12 @@
 
 void SimulatedQuotas::restart(std::size_t vm) {
   auto &it = *Vms[vm];
-  ++it.Life;
+  ++it.Incarnation;
   it.Waiting.clear();
   it.begin();
   it.Ledger->setEntries(entries());
   it.Ledger->setOrganisations(Organisations);
-  it.StillUntil = Now + Away;
+  it.PausedUntil = Now + RestartTime;
 }
 
 void SimulatedQuotas::restartAll() {
@@ -117,84 +117,84 @@
     restart(i);
 }
 
-void SimulatedQuotas::freeze(std::size_t vm, Duration time) {
-  Vms[vm]->StillUntil = std::max(Vms[vm]->StillUntil, Now + time);
+void SimulatedQuotas::pause(std::size_t vm, Duration time) {
+  Vms[vm]->PausedUntil = std::max(Vms[vm]->PausedUntil, Now + time);
 }
 
 bool SimulatedQuotas::isLinked(std::size_t a, std::size_t b) const {
   const bool isSameHall = Vms[a]->Hall == Vms[b]->Hall;
   const auto &first = Vms.front()->Hall;
   const bool touchesFirst = Vms[a]->Hall == first || Vms[b]->Hall == first;
-  return isSameHall || !IsFirstHallCut || !touchesFirst;
+  return isSameHall || !IsFirstHallPartitioned || !touchesFirst;
 }
 
 void SimulatedQuotas::send(std::size_t from, const std::string &ip,
                            std::variant<QuotaAsk, QuotaGrant> body) {
-  ++Messages;
+  ++MessageCount;
   const auto to = static_cast<std::size_t>(std::stoi(ip.substr(7)));
   if (isLinked(from, to))
-    Parcels.push_back(
-        {Now + Delay, from, to, Vms[from]->Life, std::move(body)});
+    InFlight.push_back(
+        {Now + Delay, from, to, Vms[from]->Incarnation, std::move(body)});
 }
 
 void SimulatedQuotas::deliver() {
-  std::deque<Parcel> kept;
-  for (auto &it : std::exchange(Parcels, {})) {
+  std::deque<Message> kept;
+  for (auto &it : std::exchange(InFlight, {})) {
     auto &to = *Vms[it.To];
-    if (it.At > Now || to.StillUntil > Now) {
+    if (it.At > Now || to.PausedUntil > Now) {
       kept.push_back(std::move(it));
       continue;
     }
     // NOTE: the connection to an earlier incarnation is closed.
-    if (it.Life != Vms[it.From]->Life)
+    if (it.Incarnation != Vms[it.From]->Incarnation)
       continue;
     if (const auto *ask = std::get_if<QuotaAsk>(&it.Body))
       to.Ledger->asked(Now, ipOf(it.From), *ask);
     else
       to.Ledger->answered(Now, ipOf(it.From), std::get<QuotaGrant>(it.Body));
   }
-  for (auto &it : Parcels)
+  for (auto &it : InFlight)
     kept.push_back(std::move(it));
-  Parcels = std::move(kept);
+  InFlight = std::move(kept);
 }
 
 void SimulatedQuotas::ask(std::size_t vm, Caller caller) {
   // NOTE: the balancer sends clients to VMs that answer.
-  while (Vms[vm]->StillUntil > Now)
+  while (Vms[vm]->PausedUntil > Now)
     vm = Random() % Vms.size();
   ++Asked[caller.Priority];
   caller.Since = Now;
   Vms[vm]->Waiting.push_back(caller);
-  pump(*Vms[vm]);
+  admitWaiting(*Vms[vm]);
 }
 
-void SimulatedQuotas::askAgain() {
-  const auto end = Returning.upper_bound(Now);
-  const std::vector<std::pair<TimePoint, Caller>> due(Returning.begin(), end);
-  Returning.erase(Returning.begin(), end);
+void SimulatedQuotas::askDueCallers() {
+  const auto end = ReturningCallers.upper_bound(Now);
+  const std::vector<std::pair<TimePoint, Caller>> due(ReturningCallers.begin(),
+                                                      end);
+  ReturningCallers.erase(ReturningCallers.begin(), end);
   for (const auto &[at, caller] : due)
     ask(Random() % Vms.size(), caller);
 }
 
 void SimulatedQuotas::refuse(Vm &vm, Caller caller) {
   ++Refused[caller.Priority];
-  if (caller.Returns++ == MostReturns)
+  if (caller.Returns++ == MaxReturns)
     return;
-  const auto pause =
+  const auto delay =
       vm.Ledger->retryAfter(Now, TheOrganisation, caller.Priority);
-  Returning.emplace(Now + pause, caller);
+  ReturningCallers.emplace(Now + delay, caller);
 }
 
-void SimulatedQuotas::pump(Vm &vm) {
-  vm.MustPump = false;
+void SimulatedQuotas::admitWaiting(Vm &vm) {
+  vm.HasQuotaChanged = false;
   std::deque<Caller> kept;
   for (const auto &it : std::exchange(vm.Waiting, {})) {
     const auto verdict = vm.Ledger->admit(Now, TheOrganisation, it.Priority);
     if (verdict == QuotaVerdict::Granted) {
       GrantedAt.push_back(Now);
       ++Grants[it.Priority];
-    } else if (verdict == QuotaVerdict::Exhausted ||
-               Now - it.Since > Patience) {
+    } else if (verdict == QuotaVerdict::Exhausted || Now - it.Since > MaxWait) {
       refuse(vm, it);
     } else {
       kept.push_back(it);
@@ -207,36 +207,37 @@
   Now += Step;
   deliver();
   for (auto &it : Vms) {
-    if (it->StillUntil > Now)
+    if (it->PausedUntil > Now)
       continue;
     it->Ledger->tick(Now);
     const bool isTickDue = (Now.time_since_epoch() / Step) % 5 == 0;
-    if (it->MustPump || isTickDue)
-      pump(*it);
+    if (it->HasQuotaChanged || isTickDue)
+      admitWaiting(*it);
   }
 }
 
-void SimulatedQuotas::play(Duration time, double perSecond, double toFirst) {
-  playAll(time, {{0, perSecond}}, toFirst);
+void SimulatedQuotas::run(Duration time, double perSecond,
+                          double firstVmFraction) {
+  runAll(time, {{0, perSecond}}, firstVmFraction);
 }
 
-void SimulatedQuotas::playAll(Duration time,
-                              const std::vector<SimulatedLoad> &loads,
-                              double toFirst) {
+void SimulatedQuotas::runAll(Duration time,
+                             const std::vector<SimulatedLoad> &loads,
+                             double firstVmFraction) {
   const std::chrono::duration<double> perStep = Step;
-  std::bernoulli_distribution isToFirst(toFirst);
+  std::bernoulli_distribution isAtFirstVm(firstVmFraction);
   for (const TimePoint end = Now + time; Now < end;) {
     step();
-    const bool areAllStill =
+    const bool areAllPaused =
         std::all_of(Vms.begin(), Vms.end(),
-                    [&](const auto &it) { return it->StillUntil > Now; });
-    if (!areAllStill)
-      askAgain();
+                    [&](const auto &it) { return it->PausedUntil > Now; });
+    if (!areAllPaused)
+      askDueCallers();
     for (const auto &load : loads) {
       std::poisson_distribution<int> count(load.PerSecond * perStep.count());
       int n = load.PerSecond > 0 ? count(Random) : 0;
-      for (; n > 0 && !areAllStill; --n)
-        ask(isToFirst(Random) ? 0 : Random() % Vms.size(),
+      for (; n > 0 && !areAllPaused; --n)
+        ask(isAtFirstVm(Random) ? 0 : Random() % Vms.size(),
             {Now, load.Priority, 0});
     }
   }
@@ -253,7 +254,7 @@
       [](int sum, const auto &it) { return sum + it.second; });
 }
 
-int SimulatedQuotas::mostIn(Duration window) const {
+int SimulatedQuotas::maxIn(Duration window) const {
   std::size_t most = 0;
   std::size_t first = 0;
   for (std::size_t last = 0; last < GrantedAt.size(); ++last) {
--- a/src/quota/tests/SimulatedQuotas.h
+++ b/src/quota/tests/SimulatedQuotas.h
@@ -36,28 +36,30 @@
   SimulatedQuotas &operator=(const SimulatedQuotas &) = delete;
 
   /// Runs for \p time while clients ask for \p perSecond operations, evenly
-  /// over all VMs, but with a fraction of \p toFirst at the first VM.
-  void play(Duration time, double perSecond, double toFirst = 0);
+  /// over all VMs, but with a fraction of \p firstVmFraction at the first VM.
+  void run(Duration time, double perSecond, double firstVmFraction = 0);
   /// The same for several priorities at once.
-  void playAll(Duration time, const std::vector<SimulatedLoad> &loads,
-               double toFirst = 0);
+  void runAll(Duration time, const std::vector<SimulatedLoad> &loads,
+              double firstVmFraction = 0);
   /// Refused callers return up to this many times, each after its retry delay.
-  void setReturns(int most) { MostReturns = most; }
+  void setMaxReturns(int most) { MaxReturns = most; }
   void setLimit(double rate, double burst);
   /// Partitions the first hall from the others, or ends that.
-  void cutFirstHall(bool isCut) { IsFirstHallCut = isCut; }
+  void partitionFirstHall(bool isPartitioned) {
+    IsFirstHallPartitioned = isPartitioned;
+  }
   /// Restarts a VM without its state; it is unreachable for a moment.
   void restart(std::size_t vm);
   void restartAll();
   /// Pauses a VM, which then goes on with the state that it had.
-  void freeze(std::size_t vm, Duration time);
+  void pause(std::size_t vm, Duration time);
   /// Removes a VM from the lists of the others, or adds it again.
   void setListed(std::size_t vm, bool isListed);
 
   std::size_t size() const { return Vms.size(); }
   std::mt19937_64 &random() { return Random; }
   /// The highest number of operations that ran in any span of \p window.
-  int mostIn(Duration window) const;
+  int maxIn(Duration window) const;
   int granted() const { return static_cast<int>(GrantedAt.size()); }
   int granted(int priority) const { return countOf(Grants, priority); }
   /// Refusals of the operations asked for.
@@ -66,16 +68,16 @@
   int asked() const { return sumOf(Asked); }
   int asked(int priority) const { return countOf(Asked, priority); }
   /// Messages between VMs.
-  int messages() const { return Messages; }
+  int messageCount() const { return MessageCount; }
 
 private:
   struct Vm;
-  struct Parcel {
+  struct Message {
     TimePoint At{};
     std::size_t From = 0;
     std::size_t To = 0;
     /// The sender's incarnation; messages of an earlier one are lost.
-    int Life = 0;
+    int Incarnation = 0;
     std::variant<QuotaAsk, QuotaGrant> Body;
   };
 
@@ -91,9 +93,9 @@
 
   void step();
   void ask(std::size_t vm, Caller caller);
-  void askAgain();
+  void askDueCallers();
   void refuse(Vm &vm, Caller caller);
-  void pump(Vm &vm);
+  void admitWaiting(Vm &vm);
   bool isLinked(std::size_t a, std::size_t b) const;
   void send(std::size_t from, const std::string &ip,
             std::variant<QuotaAsk, QuotaGrant> body);
@@ -103,16 +105,16 @@
   std::mt19937_64 Random;
   TimePoint Now = TimePoint(std::chrono::seconds(10));
   std::vector<std::unique_ptr<Vm>> Vms;
-  std::deque<Parcel> Parcels;
+  std::deque<Message> InFlight;
   std::map<OrganisationId, control::Organisation> Organisations;
-  bool IsFirstHallCut = false;
+  bool IsFirstHallPartitioned = false;
   std::vector<TimePoint> GrantedAt;
   Counts Grants;
   Counts Asked;
   Counts Refused;
-  std::multimap<TimePoint, Caller> Returning;
-  int MostReturns = 0;
-  int Messages = 0;
+  std::multimap<TimePoint, Caller> ReturningCallers;
+  int MaxReturns = 0;
+  int MessageCount = 0;
 };
 
 } // namespace stepledge::quota::tests
--- a/src/quota/types/QuotaOptions.h
+++ b/src/quota/types/QuotaOptions.h
@@ -27,18 +27,18 @@
   /// what a VM that was paused may still use.
   Duration LeaseTime = milliseconds(1000);
   /// How far ahead a VM asks for operations, by its use in the last second.
-  Duration Forecast = milliseconds(500);
+  Duration ForecastTime = milliseconds(500);
   /// A home that owes an answer for this long is taken for gone: well above the
   /// time that a busy VM takes to answer.
   Duration SilenceLimit = milliseconds(300);
   /// How long an unavailable home isn't asked.
-  Duration BadHomePause = milliseconds(1000);
+  Duration UnavailableHomePause = milliseconds(1000);
   /// How often a home that has nothing left asks the other halls.
   Duration HallAskInterval = milliseconds(100);
   /// The delay before a home that couldn't answer yet is asked again.
-  Duration AskPause = milliseconds(5);
+  Duration AskRetryDelay = milliseconds(5);
   /// How often a VM checks whether it has become a home, or is no longer one.
-  Duration PartInterval = milliseconds(1000);
+  Duration PartUpdateInterval = milliseconds(1000);
   /// How many VMs of a hall keep quotas: bounds the connections that each VM
   /// needs for them.
   std::size_t HomesPerHall = 8;
