--- a/src/overload/tests/LineLoadTest.cpp
+++ b/src/overload/tests/LineLoadTest.cpp
@@ -33,13 +33,13 @@
 
 } // namespace
 
-TEST_CASE("LineLoad_TellsNothingBeforeTheFirstUse") {
+TEST_CASE("LineLoad_WaitIsZeroBeforeTheFirstBorrow") {
   const LineLoad load;
   CHECK(load.wait(TimePoint(std::chrono::seconds(1)), Usual, 20, 4) ==
         Duration{});
 }
 
-TEST_CASE("LineLoad_WaitGrowsWithTheWorkAheadAndFallsWithTheConnections") {
+TEST_CASE("LineLoad_WaitGrowsWithTheQueueAndFallsWithTheConnections") {
   LineLoad load;
   load.noteHeld(milliseconds(20));
   const TimePoint now(std::chrono::seconds(1));
@@ -50,7 +50,7 @@
   CHECK(load.wait(now, Usual, 4, 0) == milliseconds(90));
 }
 
-TEST_CASE("LineLoad_FloodOfOnePriorityLengthensTheWaitOfTheLessUrgentOnly") {
+TEST_CASE("LineLoad_FloodLengthensOnlyTheWaitOfLessUrgentBorrows") {
   LineLoad load;
   const TimePoint now = run(load, TimePoint(std::chrono::seconds(1)), Usual, 4,
                             milliseconds(2000));
@@ -61,14 +61,14 @@
   CHECK(load.wait(now, Late, 1, 4) >= 10 * urgent);
 }
 
-TEST_CASE("LineLoad_FloodThatIsOverIsForgottenWithinAnObjective") {
+TEST_CASE("LineLoad_PastFloodDecaysWithinAnObjective") {
   LineLoad load;
   const TimePoint now = run(load, TimePoint(std::chrono::seconds(1)), Urgent, 4,
                             milliseconds(2000));
   CHECK(load.wait(now + milliseconds(600), Usual, 1, 4) < milliseconds(10));
 }
 
-TEST_CASE("LineLoad_UsesThatRestDontMakeItSwing") {
+TEST_CASE("LineLoad_IdleTransactionsDontMakeTheHoldTimeOscillate") {
   // Every tenth borrow is idle in transaction for 300 ms; the others take 10.
   LineLoad load;
   Duration least = milliseconds(1000);
--- a/src/overload/tests/RetryTimeTest.cpp
+++ b/src/overload/tests/RetryTimeTest.cpp
@@ -13,7 +13,7 @@
 using namespace stepledge;
 using namespace stepledge::overload;
 
-TEST_CASE("RetryTime_ThoseRefusedTogetherReturnOneByOne") {
+TEST_CASE("RetryDelay_ClientsRefusedTogetherReturnOneByOne") {
   constexpr Duration Wait = milliseconds(200);
   constexpr int Clients = 1000;
   constexpr std::size_t Parts = 10;
@@ -31,7 +31,7 @@
   }
 }
 
-TEST_CASE("RetryTime_IsTheSameForTheSameStatement") {
+TEST_CASE("RetryDelay_IsTheSameForTheSameStatement") {
   CHECK(retryTime(milliseconds(100), "a") == retryTime(milliseconds(100), "a"));
   CHECK(retryTime(Duration{}, "a") > Duration{});
 }
--- a/src/overload/tests/ToldWaitsTest.cpp
+++ b/src/overload/tests/ToldWaitsTest.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("ToldWaits_WordExpiresWithTheWaitThatItTold") {
+TEST_CASE("ToldWaits_ReportExpiresWithItsWait") {
   ToldWaits waits;
   CHECK(waits.isEmpty(Start, Primary));
   waits.note(Start, Primary, "a", Usual, milliseconds(100));
@@ -32,7 +32,7 @@
   CHECK(waits.left(Start, InstanceId("q"), "a", Usual) == Duration{});
 }
 
-TEST_CASE("ToldWaits_LostOrAbsurdWordIsNotBelievedForLong") {
+TEST_CASE("ToldWaits_LostOrAbsurdReportExpiresSoon") {
   // The lender died while its queue was long, or its later reports were lost.
   ToldWaits waits;
   waits.note(Start, Primary, "a", Usual, std::chrono::hours(1));
@@ -43,7 +43,7 @@
   CHECK(waits.isEmpty(Start + maxAge, Primary));
 }
 
-TEST_CASE("ToldWaits_WaitOfTheLessUrgentSaysNothingOfTheUrgent") {
+TEST_CASE("ToldWaits_WaitOfLessUrgentBorrowsDoesNotApplyToUrgentOnes") {
   ToldWaits waits;
   waits.note(Start, Primary, "a", Usual, milliseconds(200));
   CHECK(waits.left(Start, Primary, "a", {false, 0}) == Duration{});
@@ -51,7 +51,7 @@
   CHECK(waits.left(Start, Primary, "a", {true, 0}) == milliseconds(200));
 }
 
-TEST_CASE("ToldWaits_NewestWordHolds") {
+TEST_CASE("ToldWaits_NewestReportApplies") {
   ToldWaits waits;
   waits.note(Start, Primary, "a", {false, 0}, milliseconds(200));
   waits.note(Start, Primary, "a", Usual, milliseconds(300));
@@ -60,14 +60,14 @@
   CHECK(waits.left(Start, Primary, "a", {false, 0}) == milliseconds(50));
 }
 
-TEST_CASE("ToldWaits_OneProbeInAWhile") {
+TEST_CASE("ToldWaits_OneProbePerInterval") {
   ToldWaits waits;
   CHECK(waits.takeProbe(Start, Primary));
   CHECK(!waits.takeProbe(Start + milliseconds(50), Primary));
   CHECK(waits.takeProbe(Start + ToldOptions().ProbeInterval, Primary));
 }
 
-TEST_CASE("ToldWaits_LenderThatServesHasRoomUntilItTellsOtherwise") {
+TEST_CASE("ToldWaits_LenderThatServesHasCapacityUntilItReportsAWait") {
   ToldWaits waits;
   waits.note(Start, Primary, "a", Usual, milliseconds(200));
   CHECK(!waits.isServing(Start, Primary, "a"));
--- a/src/overload/tests/WaitPolicyTest.cpp
+++ b/src/overload/tests/WaitPolicyTest.cpp
@@ -10,7 +10,7 @@
 using namespace stepledge;
 using namespace stepledge::overload;
 
-TEST_CASE("WaitPolicy_ShedOrHopelessStatementsWaitLess") {
+TEST_CASE("WaitPolicy_ShedOrUnsendableStatementsWaitLess") {
   const WaitPolicy policy;
   WaitFacts facts;
   facts.Objective = milliseconds(240);
@@ -40,7 +40,7 @@
   CHECK(policy.limit(facts) == milliseconds(1000));
 }
 
-TEST_CASE("WaitPolicy_WhatWaitsForNoRoomWaitsAsLongAsEver") {
+TEST_CASE("WaitPolicy_WaitsNotForCapacityKeepTheDefaultMaximum") {
   const WaitPolicy policy;
   WaitFacts facts;
   facts.Objective = milliseconds(120);
@@ -54,7 +54,7 @@
   CHECK(policy.limit(facts) == WaitOptions().MaxWaitUnsendable);
 }
 
-TEST_CASE("WaitPolicy_WaitThatIsOfUseShrinksWithAge") {
+TEST_CASE("WaitPolicy_UsefulWaitShrinksWithAge") {
   const WaitPolicy policy;
   WaitFacts facts;
   facts.Objective = milliseconds(240);
