--- a/src/scheduling/tests/FairServingLoadTest.cpp
+++ b/src/scheduling/tests/FairServingLoadTest.cpp
@@ -151,8 +151,9 @@
 template <typename Order>
 std::string summary(const Rates &rates, const Rates &known, const Load &load) {
   const auto outcome = runAll<Order>(rates, known, load);
-  std::string text = "worth " + std::to_string(outcome.weightedInTime()) +
-                     " least in time " + std::to_string(minInTime(outcome));
+  std::string text = "weighted in time " +
+                     std::to_string(outcome.weightedInTime()) +
+                     " minimum in time " + std::to_string(minInTime(outcome));
   for (const auto &[priority, it] : outcome.Priorities)
     text += " priority " + std::to_string(priority) + " " +
             std::to_string(static_cast<double>(it.InTime) / it.Requested);
@@ -163,12 +164,14 @@
 
 } // namespace
 
-TEST_CASE("FairServing_WhoKeepsToItsShareIsAnsweredInTimeBesideAFlood") {
+TEST_CASE(
+    "FairServing_OrganisationsWithinTheirShareAreAnsweredInTimeDuringAFlood") {
   const auto rates = ratesOf(75);
   CHECK(minInTime(runAll<ProductOrder>(rates, rates, Contested)) >= 0.99);
 }
 
-TEST_CASE("FairServing_TheSameAmongAThousand") {
+TEST_CASE("FairServing_"
+          "OrganisationsWithinTheirShareAreAnsweredInTimeAmongAThousand") {
   // NOTE: each has too few statements for a percentile of its own. The large
   // ones have the same part of all as among 75.
   const auto rates = ratesOf(1000, LargeWeight * 1000 / 75);
@@ -217,16 +220,17 @@
   CHECK(worst <= 0.1);
 }
 
-TEST_CASE("FairServing_OrdersWeighed" * doctest::skip()) {
+TEST_CASE("FairServing_OrdersCompared" * doctest::skip()) {
   const auto rates = ratesOf(75);
   for (const auto &load : {Contested, WithinQuotas}) {
-    MESSAGE("today ", summary<ProductOrder>(rates, {}, load));
-    MESSAGE("line ", summary<ProductOrder>(rates, rates, load));
+    MESSAGE("without organisations ", summary<ProductOrder>(rates, {}, load));
+    MESSAGE("scheduler ", summary<ProductOrder>(rates, rates, load));
     MESSAGE("priority first ", summary<PriorityFirst>(rates, rates, load));
     MESSAGE("round robin ", summary<DeficitRoundRobin>(rates, rates, load));
   }
-  MESSAGE("shares: today ", worstShareError<ProductOrder>(rates, {}, 2),
-          " line ", worstShareError<ProductOrder>(rates, rates, 2),
-          " priority first ", worstShareError<PriorityFirst>(rates, rates, 2),
-          " round robin ", worstShareError<DeficitRoundRobin>(rates, rates, 2));
+  MESSAGE("share errors: without organisations ",
+          worstShareError<ProductOrder>(rates, {}, 2), " scheduler ",
+          worstShareError<ProductOrder>(rates, rates, 2), " priority first ",
+          worstShareError<PriorityFirst>(rates, rates, 2), " round robin ",
+          worstShareError<DeficitRoundRobin>(rates, rates, 2));
 }
--- a/src/scheduling/tests/FairServingTest.cpp
+++ b/src/scheduling/tests/FairServingTest.cpp
@@ -81,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE("FairServing_WithoutOrganisationsTheOrderIsTheEarlierOne") {
+TEST_CASE("FairServing_OrderIsUnchangedWithoutOrganisations") {
   std::mt19937_64 random(1);
   for (int n = 0; n < 2000; ++n) {
     ServingLine scheduler;
@@ -94,7 +94,7 @@
   }
 }
 
-TEST_CASE("FairServing_NobodysMoreUrgentOneWaitsForALessUrgentOneOfItsOwn") {
+TEST_CASE("FairServing_PriorityDecidesWithinAnOrganisation") {
   std::mt19937_64 random(2);
   for (int n = 0; n < 2000; ++n) {
     // One use more or less decides whether the oldest statement goes first.
@@ -129,7 +129,7 @@
   }
 }
 
-TEST_CASE("FairServing_TheFloorServesWhatHasWaitedLongest") {
+TEST_CASE("FairServing_OldestFirstTurnServesTheLongestWait") {
   QueueSchedulerOptions options;
   ServingLine scheduler(options);
   scheduler.setRates(sixRates());
@@ -145,7 +145,7 @@
   CHECK(oldestFirst == 1);
 }
 
-TEST_CASE("FairServing_WhatNobodyElseWantedIsNotHeldAgainstAnyone") {
+TEST_CASE("FairServing_UncontestedUsageDoesNotCountAgainstAnOrganisation") {
   FairShares shares;
   const OrganisationId alone("a");
   const OrganisationId other("b");
@@ -156,7 +156,7 @@
   CHECK(shares.startTagOf(alone) - shares.startTagOf(other) <= 4000);
 }
 
-TEST_CASE("FairServing_UseIsForgottenAndTheStateStaysSmall") {
+TEST_CASE("FairServing_UsageExpiresAndTheStateStaysSmall") {
   FairShares shares;
   shares.setWaiting(Now, {OrganisationId("waits")});
   for (int i = 0; i < 5000; ++i) {
@@ -171,7 +171,7 @@
   CHECK(shares.isExpired(Now + milliseconds(60000)));
 }
 
-TEST_CASE("FairServing_WithoutARateOneIsAnAverageOne") {
+TEST_CASE("FairServing_OrganisationWithoutARateHasAverageWeight") {
   const ShareWeights weights({{OrganisationId("a"), 30},
                               {OrganisationId("b"), 10},
                               {OrganisationId("c"), 0}});
@@ -181,7 +181,7 @@
   CHECK(ShareWeights({{OrganisationId("a"), 0}}).of(OrganisationId("a")) == 1);
 }
 
-TEST_CASE("FairServing_WhereAllHaveHadTheSameTheFirstComeGoesFirst") {
+TEST_CASE("FairServing_EqualUsageIsServedInOrderOfArrival") {
   ServingLine scheduler;
   scheduler.setRates(sixRates());
   const auto order = scheduler.fairOrder(
@@ -192,7 +192,7 @@
   CHECK(order == std::vector<std::size_t>{2, 0, 1});
 }
 
-TEST_CASE("FairServing_CountsWhoIsHeldBack") {
+TEST_CASE("FairServing_CountsDeferredOrganisations") {
   ServingLine scheduler;
   scheduler.setRates(sixRates());
   scheduler.noteUse(Now, Queue, OrganisationId("1"), milliseconds(40));
--- a/src/scheduling/tests/ServingLineTest.cpp
+++ b/src/scheduling/tests/ServingLineTest.cpp
@@ -29,7 +29,7 @@
   CHECK(order == std::vector<std::size_t>{2, 0, 1});
 }
 
-TEST_CASE("ServingLine_LateOnesGoLastInAnOverload") {
+TEST_CASE("ServingLine_LateStatementsGoLastInAnOverload") {
   const ServingLine scheduler;
   const auto order =
       scheduler.order(Now, {rankOf(0, milliseconds(200), milliseconds(250)),
@@ -38,7 +38,7 @@
   CHECK(order == std::vector<std::size_t>{2, 1, 0});
 }
 
-TEST_CASE("ServingLine_QuestionsAreNeverLate") {
+TEST_CASE("ServingLine_OwnQueriesAreNeverLate") {
   const ServingLine scheduler;
   const auto order =
       scheduler.order(Now, {rankOf(0, milliseconds(200), milliseconds(150)),
