--- a/src/balancing/tests/OutlierDetectorTest.cpp
+++ b/src/balancing/tests/OutlierDetectorTest.cpp
@@ -57,7 +57,7 @@
   CHECK(it.Changes.empty());
 }
 
-TEST_CASE("OutlierDetector_SlowInstanceLosesAllButItsProbes") {
+TEST_CASE("OutlierDetector_SlowInstanceKeepsOnlyItsProbes") {
   Group it;
   it.answer(milliseconds(200), 1.0, 1.0, 1.0);
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
@@ -70,7 +70,7 @@
   CHECK(it.Detector.heldBack() == 1);
 }
 
-TEST_CASE("OutlierDetector_ReadsReturnByDegrees") {
+TEST_CASE("OutlierDetector_ReadsReturnGradually") {
   Group it;
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
   // After enough good answers it is no longer an outlier, then its reads return
@@ -85,14 +85,14 @@
   CHECK(it.Detector.heldBack() == 0);
 }
 
-TEST_CASE("OutlierDetector_InstanceThatNobodyAsksIsTriedAgain") {
+TEST_CASE("OutlierDetector_InstanceWithoutReadsIsTriedAgain") {
   Group it;
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
   it.idle(5 * OutlierOptions().HalfLife);
   CHECK(it.hasFullWeights());
 }
 
-TEST_CASE("OutlierDetector_NobodyStandsOutWhereAllAreSlowOrFail") {
+TEST_CASE("OutlierDetector_NoOutlierIfAllAreSlowOrFail") {
   Group it;
   it.answer(milliseconds(1000), 6.0, 6.0, 6.0);
   CHECK(it.hasFullWeights());
@@ -102,7 +102,7 @@
   CHECK(it.hasFullWeights());
 }
 
-TEST_CASE("OutlierDetector_OneOfThreeIsHeldBackAtMost") {
+TEST_CASE("OutlierDetector_AtMostOneOfThreeIsAnOutlier") {
   Group it;
   for (int i = 0; i < 50; ++i) {
     it.Detector.noteFailure(it.Now, it.A);
@@ -113,7 +113,7 @@
   CHECK(it.Detector.weight(it.C) == 1.0);
 }
 
-TEST_CASE("OutlierDetector_PlaceGoesToTheOneThatStandsOutNow") {
+TEST_CASE("OutlierDetector_NewOutlierReplacesARecoveringOne") {
   Group it;
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
   it.answer(milliseconds(300), 1.0, 1.0, 1.0);
@@ -123,7 +123,7 @@
   CHECK(it.Detector.weight(it.B) < 0.5);
 }
 
-TEST_CASE("OutlierDetector_QuickFailuresAreNoSpeed") {
+TEST_CASE("OutlierDetector_QuickFailuresDontCountAsFastAnswers") {
   Group it;
   for (int i = 0; i < 50; ++i) {
     it.Now += milliseconds(10);
@@ -138,7 +138,7 @@
   CHECK(!it.Detector.isSlow(it.Now, it.A));
 }
 
-TEST_CASE("OutlierDetector_ASingleFailureOrLongStatementChangesNothing") {
+TEST_CASE("OutlierDetector_SingleFailureOrLongStatementReducesNoShare") {
   Group it;
   it.answer(milliseconds(200), 1.0, 1.0, 1.0);
   it.Detector.noteFailure(it.Now, it.A);
@@ -148,7 +148,7 @@
   CHECK(it.hasFullWeights());
 }
 
-TEST_CASE("OutlierDetector_AnInstanceAloneIsNeverHeldBack") {
+TEST_CASE("OutlierDetector_SingleInstanceIsNeverAnOutlier") {
   OutlierDetector detector;
   const InstanceId id("a");
   detector.add(id);
@@ -157,7 +157,7 @@
   CHECK(detector.weight(id) == 1.0);
 }
 
-TEST_CASE("OutlierDetector_OneOfTwoMayBeHeldBack") {
+TEST_CASE("OutlierDetector_OneOfTwoMayBeAnOutlier") {
   OutlierDetector detector;
   const InstanceId a("a");
   const InstanceId b("b");
@@ -176,7 +176,7 @@
 
 // With few reads per second, answers that were some seconds old outweighed a
 // failure.
-TEST_CASE("OutlierDetector_FewAnswersTellOfAFailingInstance") {
+TEST_CASE("OutlierDetector_FewAnswersDetectAFailingInstance") {
   Group it;
   const auto answerEach = [&it](Duration pause, int times) {
     for (int i = 0; i < times; ++i) {
@@ -196,7 +196,7 @@
   CHECK(it.hasFullWeights());
 }
 
-TEST_CASE("OutlierDetector_OneFailureOfManyReadsIsNoOutlier") {
+TEST_CASE("OutlierDetector_OneFailureInManyReadsMakesNoOutlier") {
   Group it;
   it.answer(milliseconds(2000), 1.0, 1.0, 1.0);
   it.Detector.noteFailure(it.Now, it.A);
