--- a/src/quota/tests/QuotaLedgerTest.cpp
+++ b/src/quota/tests/QuotaLedgerTest.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("QuotaLedger_AskForNoneOrTooManyIsAnAskForSome") {
+TEST_CASE("QuotaLedger_AskForNoneOrTooManyGetsAValidGrant") {
   RecordedIo io;
   auto home = ledgerOf(io, {"10.0.0.1"});
   home.tick(Start);
@@ -89,7 +89,7 @@
   CHECK(asker.admit(Start, TheOrganisation, 0) != QuotaVerdict::Granted);
 }
 
-TEST_CASE("QuotaLedger_OfOnePriorityNothingIsKept") {
+TEST_CASE("QuotaLedger_SinglePriorityHasNoReserve") {
   for (const int priority : {0, 3, -1, 99}) {
     CAPTURE(priority);
     RecordedIo io;
@@ -113,7 +113,7 @@
   }
 }
 
-TEST_CASE("QuotaLedger_LendsWhatIsKeptToTheMoreUrgentOnly") {
+TEST_CASE("QuotaLedger_LendsTheReserveToMoreUrgentRequestsOnly") {
   RecordedIo io;
   auto home = ledgerOf(io, {"10.0.0.1"});
   home.tick(Start);
@@ -144,7 +144,7 @@
   CHECK(it.messageCount() == 0);
 }
 
-TEST_CASE("QuotaLedger_BelowTheLimitHardlyAnythingIsRefused") {
+TEST_CASE("QuotaLedger_BelowTheLimitAtMostOnePercentIsRefused") {
   // The use is 1 / 1.6 of the rate, as operators set it.
   for (const double rate : {2.0, 10.0, 60.0, 300.0}) {
     CAPTURE(rate);
@@ -155,7 +155,7 @@
   }
 }
 
-TEST_CASE("QuotaLedger_OneVmWithAThirdOfTheUseIsHardlyRefused") {
+TEST_CASE("QuotaLedger_OneVmWithAThirdOfTheDemandIsRarelyRefused") {
   for (const double rate : {10.0, 60.0, 300.0}) {
     CAPTURE(rate);
     SimulatedQuotas it(3, 3, 8, rate, rate);
@@ -165,14 +165,14 @@
   }
 }
 
-TEST_CASE("QuotaLedger_AllUseInOneHallBorrowsFromTheOthers") {
+TEST_CASE("QuotaLedger_HallWithAllTheDemandBorrowsFromTheOthers") {
   SimulatedQuotas it(4, 3, 4, 120, 120);
   it.run(milliseconds(3000), 0);
   it.run(milliseconds(20000), 75, 1.0);
   CHECK(it.refused() <= it.asked() / 20);
 }
 
-TEST_CASE("QuotaLedger_CutHallGoesOnWithItsPart") {
+TEST_CASE("QuotaLedger_PartitionedHallGoesOnWithItsPart") {
   SimulatedQuotas it(5, 3, 8, 60, 60);
   it.run(milliseconds(5000), 37);
   const int refused = it.refused();
@@ -182,7 +182,7 @@
   CHECK(it.refused() - refused <= (it.asked() - asked) / 25);
 }
 
-TEST_CASE("QuotaLedger_LowerLimitBindsAtOnce") {
+TEST_CASE("QuotaLedger_LowerLimitTakesEffectAtOnce") {
   SimulatedQuotas it(6, 3, 8, 300, 300);
   it.run(milliseconds(5000), 190);
   it.setLimit(20, 20);
--- a/src/quota/tests/QuotaPriorityTest.cpp
+++ b/src/quota/tests/QuotaPriorityTest.cpp
@@ -51,7 +51,7 @@
   }
 }
 
-TEST_CASE("QuotaPriority_OrdersOfOneHallGoBeforeBrowsingInAll") {
+TEST_CASE("QuotaPriority_OrdersOfOneHallGoBeforeBrowsingInAllHalls") {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     CAPTURE(seed);
     SimulatedQuotas it(seed, 3, 4, 120, 120);
@@ -63,7 +63,7 @@
   }
 }
 
-TEST_CASE("QuotaPriority_NothingIsKeptAfterALossOfPower") {
+TEST_CASE("QuotaPriority_NoReserveAfterALossOfPower") {
   // Clients return with all the requests that they held back, for a second and
   // a half: as much is granted as if all requests had one priority.
   for (const double rate : {30.0, 120.0, 600.0}) {
@@ -107,7 +107,7 @@
   }
 }
 
-TEST_CASE("QuotaPriority_NothingIsKeptWithinTheRate") {
+TEST_CASE("QuotaPriority_NoReserveWithinTheRate") {
   for (const double rate : {10.0, 60.0, 300.0}) {
     CAPTURE(rate);
     SimulatedQuotas even(2, 3, 8, rate, rate);
@@ -121,7 +121,7 @@
   }
 }
 
-TEST_CASE("QuotaPriority_WhatUrgentRequestsDontUseGoesToTheOthers") {
+TEST_CASE("QuotaPriority_OperationsUnusedByUrgentRequestsGoToTheOthers") {
   for (const double rate : {30.0, 120.0, 600.0}) {
     CAPTURE(rate);
     SimulatedQuotas it(5, 3, 8, rate, rate);
@@ -134,7 +134,7 @@
   }
 }
 
-TEST_CASE("QuotaPriority_SteadyUseBeyondTheRateGetsAllOfIt") {
+TEST_CASE("QuotaPriority_SteadyDemandOverTheRateGetsTheWholeRate") {
   for (const double rate : {10.0, 60.0, 300.0}) {
     for (const double firstVmFraction : {0.0, 0.5, 1.0}) {
       for (const bool isMixed : {false, true}) {
@@ -154,7 +154,7 @@
   }
 }
 
-TEST_CASE("QuotaPriority_CallersThatComeBackWhenToldAreServed") {
+TEST_CASE("QuotaPriority_CallersThatReturnAfterTheirDelayAreServed") {
   for (const double rate : {30.0, 120.0, 600.0}) {
     for (const int priority : {Orders, Browsing}) {
       CAPTURE(rate);
--- a/src/quota/tests/QuotaScheduleTest.cpp
+++ b/src/quota/tests/QuotaScheduleTest.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("QuotaSchedule_FloodNeverPassesTheLimit") {
+TEST_CASE("QuotaSchedule_FloodNeverExceedsTheLimit") {
   for (std::uint64_t seed = 1; seed <= 24; ++seed) {
     const double rate = seed % 3 == 0 ? 6 : seed % 3 == 1 ? 30 : 150;
     CAPTURE(seed);
@@ -67,7 +67,7 @@
   }
 }
 
-TEST_CASE("QuotaSchedule_AllVmsStartAgainUnderAFlood") {
+TEST_CASE("QuotaSchedule_AllVmsRestartDuringAFlood") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
     SimulatedQuotas it(seed, 3, 5, 100, 100);
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_CASE("QuotaSchedule_FloodOfSeveralPrioritiesNeverPassesTheLimit") {
+TEST_CASE("QuotaSchedule_FloodOfSeveralPrioritiesNeverExceedsTheLimit") {
   for (std::uint64_t seed = 101; seed <= 124; ++seed) {
     const double rate = seed % 3 == 0 ? 6 : seed % 3 == 1 ? 30 : 150;
     CAPTURE(seed);
@@ -103,7 +103,7 @@
   }
 }
 
-TEST_CASE("QuotaSchedule_HomesStartAgainInSeriesUnderAFlood") {
+TEST_CASE("QuotaSchedule_HomesRestartInSeriesDuringAFlood") {
   for (std::uint64_t seed = 201; seed <= 212; ++seed) {
     const double rate = seed % 2 == 0 ? 30 : 150;
     CAPTURE(seed);
--- a/src/quota/tests/RetryDelaysTest.cpp
+++ b/src/quota/tests/RetryDelaysTest.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("RetryTimes_CallersArriveAtTheRateOfTheRefill") {
+TEST_CASE("RetryDelays_CallersReturnAtTheRefillRate") {
   RetryDelays it;
   Duration last{};
   for (int n = 0; n < 40; ++n) {
@@ -29,7 +29,7 @@
   CHECK(last <= MaxRetryDelay);
 }
 
-TEST_CASE("RetryTimes_TheMoreUrgentComeFirst") {
+TEST_CASE("RetryDelays_MoreUrgentCallersReturnFirst") {
   RetryDelays it;
   for (int n = 0; n < 5; ++n)
     it.next(Start, 2, MinRetryDelay, 20);
@@ -38,7 +38,7 @@
         MinRetryDelay + milliseconds(50));
 }
 
-TEST_CASE("RetryTimes_TheRestIsSpreadOverTheLastHalfSecond") {
+TEST_CASE("RetryDelays_CallersBeyondTheMaximumAreSpreadOverTheLastHalfSecond") {
   RetryDelays it;
   std::set<Duration> delays;
   for (int n = 0; n < 64; ++n) {
@@ -50,7 +50,7 @@
   CHECK(delays.size() >= 63);
 }
 
-TEST_CASE("RetryTimes_NobodyBeforeMeansTheLeast") {
+TEST_CASE("RetryDelays_FirstCallerGetsTheMinimum") {
   RetryDelays it;
   CHECK(it.next(Start, 0, Duration{}, 1000) == MinRetryDelay);
   CHECK(it.next(Start + milliseconds(5000), 0, Duration{}, 1000) ==
