--- a/src/balancing/tests/OutlierDetectorTest.cpp
+++ b/src/balancing/tests/OutlierDetectorTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which instances are held back, and how they return.
+/// \file Tests of which instances become outliers, and how they recover.
 
 #include "balancing/OutlierDetector.h"
 
@@ -28,7 +28,7 @@
       review();
     }
   }
-  void rest(Duration time) {
+  void idle(Duration time) {
     for (const TimePoint end = Now + time; Now < end; Now += milliseconds(10))
       review();
   }
@@ -36,7 +36,7 @@
     for (const auto &it : Detector.review(Now))
       Changes.push_back(it);
   }
-  bool isWhole() const {
+  bool hasFullWeights() const {
     return Detector.weight(A) == 1.0 && Detector.weight(B) == 1.0 &&
            Detector.weight(C) == 1.0;
   }
@@ -53,15 +53,15 @@
 TEST_CASE("OutlierDetector_EqualInstancesKeepAllReads") {
   Group it;
   it.answer(milliseconds(1000), 1.0, 1.4, 0.8);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
   CHECK(it.Changes.empty());
 }
 
-TEST_CASE("OutlierDetector_SlowInstanceLosesAllButItsProbes") {
+TEST_CASE("OutlierDetector_SlowInstanceKeepsOnlyItsProbes") {
   Group it;
   it.answer(milliseconds(200), 1.0, 1.0, 1.0);
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
-  CHECK(it.Detector.weight(it.A) == OutlierOptions().LeastWeight);
+  CHECK(it.Detector.weight(it.A) == OutlierOptions().MinWeight);
   CHECK(it.Detector.isSlow(it.Now, it.A));
   CHECK(it.Detector.weight(it.B) == 1.0);
   REQUIRE(it.Changes.size() == 1);
@@ -70,39 +70,39 @@
   CHECK(it.Detector.heldBack() == 1);
 }
 
-TEST_CASE("OutlierDetector_ReadsReturnByDegrees") {
+TEST_CASE("OutlierDetector_ReadsReturnGradually") {
   Group it;
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
-  // Good answers first take it from those that stand out, then time returns
-  // its reads.
+  // After enough good answers it is no longer an outlier, then its reads return
+  // with time.
   it.answer(milliseconds(1500), 1.0, 1.0, 1.0);
   CHECK(it.Detector.weight(it.A) > 0.3);
   CHECK(it.Detector.weight(it.A) < 0.7);
-  it.answer(OutlierOptions().ReturnTime, 1.0, 1.0, 1.0);
-  CHECK(it.isWhole());
+  it.answer(OutlierOptions().RecoveryTime, 1.0, 1.0, 1.0);
+  CHECK(it.hasFullWeights());
   REQUIRE(it.Changes.size() == 2);
   CHECK(!it.Changes[1].IsHeldBack);
   CHECK(it.Detector.heldBack() == 0);
 }
 
-TEST_CASE("OutlierDetector_InstanceThatNobodyAsksIsTriedAgain") {
+TEST_CASE("OutlierDetector_InstanceWithoutReadsIsTriedAgain") {
   Group it;
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
-  it.rest(5 * OutlierOptions().HalfLife);
-  CHECK(it.isWhole());
+  it.idle(5 * OutlierOptions().HalfLife);
+  CHECK(it.hasFullWeights());
 }
 
-TEST_CASE("OutlierDetector_NobodyStandsOutWhereAllAreSlowOrFail") {
+TEST_CASE("OutlierDetector_NoOutlierIfAllAreSlowOrFail") {
   Group it;
   it.answer(milliseconds(1000), 6.0, 6.0, 6.0);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
   for (int i = 0; i < 100; ++i)
     for (const auto &id : {it.A, it.B, it.C})
       it.Detector.noteFailure(it.Now, id);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
 }
 
-TEST_CASE("OutlierDetector_OneOfThreeIsHeldBackAtMost") {
+TEST_CASE("OutlierDetector_AtMostOneOfThreeIsAnOutlier") {
   Group it;
   for (int i = 0; i < 50; ++i) {
     it.Detector.noteFailure(it.Now, it.A);
@@ -113,7 +113,7 @@
   CHECK(it.Detector.weight(it.C) == 1.0);
 }
 
-TEST_CASE("OutlierDetector_PlaceGoesToTheOneThatStandsOutNow") {
+TEST_CASE("OutlierDetector_NewOutlierReplacesARecoveringOne") {
   Group it;
   it.answer(milliseconds(500), 6.0, 1.0, 1.0);
   it.answer(milliseconds(300), 1.0, 1.0, 1.0);
@@ -123,7 +123,7 @@
   CHECK(it.Detector.weight(it.B) < 0.5);
 }
 
-TEST_CASE("OutlierDetector_QuickFailuresAreNoSpeed") {
+TEST_CASE("OutlierDetector_QuickFailuresDontCountAsFastAnswers") {
   Group it;
   for (int i = 0; i < 50; ++i) {
     it.Now += milliseconds(10);
@@ -138,17 +138,17 @@
   CHECK(!it.Detector.isSlow(it.Now, it.A));
 }
 
-TEST_CASE("OutlierDetector_ASingleFailureOrLongStatementChangesNothing") {
+TEST_CASE("OutlierDetector_SingleFailureOrLongStatementReducesNoShare") {
   Group it;
   it.answer(milliseconds(200), 1.0, 1.0, 1.0);
   it.Detector.noteFailure(it.Now, it.A);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
   it.answer(milliseconds(200), 1.0, 1.0, 1.0);
   it.Detector.noteAnswer(it.Now, it.B, 6.0);
-  CHECK(it.isWhole());
+  CHECK(it.hasFullWeights());
 }
 
-TEST_CASE("OutlierDetector_AnInstanceAloneIsNeverHeldBack") {
+TEST_CASE("OutlierDetector_SingleInstanceIsNeverAnOutlier") {
   OutlierDetector detector;
   const InstanceId id("a");
   detector.add(id);
@@ -157,7 +157,7 @@
   CHECK(detector.weight(id) == 1.0);
 }
 
-TEST_CASE("OutlierDetector_OneOfTwoMayBeHeldBack") {
+TEST_CASE("OutlierDetector_OneOfTwoMayBeAnOutlier") {
   OutlierDetector detector;
   const InstanceId a("a");
   const InstanceId b("b");
@@ -174,31 +174,32 @@
   CHECK(detector.weight(a) == 1.0);
 }
 
-// Where few reads are asked, those of some seconds ago outweighed a failure.
-TEST_CASE("OutlierDetector_FewAnswersTellOfAFailingInstance") {
+// With few reads per second, answers that were some seconds old outweighed a
+// failure.
+TEST_CASE("OutlierDetector_FewAnswersDetectAFailingInstance") {
   Group it;
-  const auto askEach = [&it](Duration pause, int times) {
+  const auto answerEach = [&it](Duration pause, int times) {
     for (int i = 0; i < times; ++i) {
       it.Detector.noteAnswer(it.Now, it.A, 1.0);
       it.Detector.noteAnswer(it.Now, it.B, 1.0);
       it.Detector.noteAnswer(it.Now, it.C, 1.0);
-      it.rest(pause);
+      it.idle(pause);
     }
   };
-  askEach(milliseconds(700), 8);
+  answerEach(milliseconds(700), 8);
   it.Detector.noteFailure(it.Now, it.A);
   CHECK(it.Detector.weight(it.A) < 1.0);
-  it.rest(milliseconds(1000));
+  it.idle(milliseconds(1000));
   CHECK(it.Detector.weight(it.A) < 0.05);
-  // Nothing more is heard of it, so it is tried again.
-  it.rest(milliseconds(9000));
-  CHECK(it.isWhole());
+  // No more answers arrive from it, so it is tried again.
+  it.idle(milliseconds(9000));
+  CHECK(it.hasFullWeights());
 }
 
-TEST_CASE("OutlierDetector_OneFailureOfManyReadsIsNoOutlier") {
+TEST_CASE("OutlierDetector_OneFailureInManyReadsMakesNoOutlier") {
   Group it;
   it.answer(milliseconds(2000), 1.0, 1.0, 1.0);
   it.Detector.noteFailure(it.Now, it.A);
-  it.rest(milliseconds(1000));
-  CHECK(it.isWhole());
+  it.idle(milliseconds(1000));
+  CHECK(it.hasFullWeights());
 }
--- a/src/overload/RetryTime.cpp
+++ b/src/overload/RetryTime.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Any sooner, a return costs more than the wait that it saves: about the way
-/// between two VMs and back.
-constexpr Duration LeastPause = milliseconds(5);
+/// About one round trip between two VMs: an earlier retry costs more than the
+/// wait that it saves.
+constexpr Duration MinDelay = milliseconds(5);
 
-/// FNV-1a with a last mixing, which spreads ids that differ in one figure.
+/// FNV-1a with a final mixing step, which spreads ids that differ in one digit.
 std::uint64_t hashOf(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325U;
   for (const char c : text)
@@ -26,7 +26,7 @@
 } // namespace
 
 Duration retryTime(Duration wait, std::string_view statement) {
-  const Duration least = std::max(wait, LeastPause);
+  const Duration least = std::max(wait, MinDelay);
   const auto spread = static_cast<std::uint64_t>(least.count());
   return least +
          Duration(static_cast<Duration::rep>(hashOf(statement) % spread));
--- a/src/overload/tests/RetryTimeTest.cpp
+++ b/src/overload/tests/RetryTimeTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file When refused clients return.
+/// \file Tests of when refused clients retry.
 
 #include "overload/RetryTime.h"
 
@@ -13,7 +13,7 @@
 using namespace stepledge;
 using namespace stepledge::overload;
 
-TEST_CASE("RetryTime_ThoseRefusedTogetherReturnOneByOne") {
+TEST_CASE("RetryDelay_ClientsRefusedTogetherReturnOneByOne") {
   constexpr Duration Wait = milliseconds(200);
   constexpr int Clients = 1000;
   constexpr std::size_t Parts = 10;
@@ -24,14 +24,14 @@
     REQUIRE(time < 2 * Wait);
     ++returned[static_cast<std::size_t>((time - Wait) * Parts / Wait)];
   }
-  // In each tenth of the time about a tenth of them.
+  // About a tenth of the clients retry in each tenth of the time.
   for (const int it : returned) {
     CHECK(it > 60);
     CHECK(it < 140);
   }
 }
 
-TEST_CASE("RetryTime_IsTheSameForTheSameStatement") {
+TEST_CASE("RetryDelay_IsTheSameForTheSameStatement") {
   CHECK(retryTime(milliseconds(100), "a") == retryTime(milliseconds(100), "a"));
   CHECK(retryTime(Duration{}, "a") > Duration{});
 }
--- a/src/overload/tests/WaitPolicyTest.cpp
+++ b/src/overload/tests/WaitPolicyTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file How long statements wait.
+/// \file Tests of how long statements may wait.
 
 #include "overload/WaitPolicy.h"
 
@@ -10,17 +10,17 @@
 using namespace stepledge;
 using namespace stepledge::overload;
 
-TEST_CASE("WaitPolicy_ShedOrHopelessStatementsWaitLess") {
+TEST_CASE("WaitPolicy_ShedOrUnsendableStatementsWaitLess") {
   const WaitPolicy policy;
   WaitFacts facts;
   facts.Objective = milliseconds(240);
-  CHECK(policy.limit(facts) == WaitOptions().Longest);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWait);
   facts.IsShed = true;
   CHECK(policy.limit(facts) == milliseconds(30));
   facts.IsHopeless = true;
   CHECK(policy.limit(facts) == milliseconds(30));
   facts.IsShed = false;
-  CHECK(policy.limit(facts) == WaitOptions().LongestHopeless);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWaitUnsendable);
 }
 
 TEST_CASE("WaitPolicy_LimitFollowsTheRoute") {
@@ -32,28 +32,29 @@
   facts.Objective = milliseconds(1200);
   facts.StatementTimeout = milliseconds(3000);
   CHECK(policy.limit(facts) == milliseconds(1500));
-  // Never refused while it could be on time, nor after its timeout.
+  // A statement isn't refused while it could be on time, and never waits beyond
+  // its timeout.
   facts.StatementTimeout = milliseconds(1500);
   CHECK(policy.limit(facts) == milliseconds(1200));
   facts.StatementTimeout = milliseconds(1000);
   CHECK(policy.limit(facts) == milliseconds(1000));
 }
 
-TEST_CASE("WaitPolicy_WhatWaitsForNoRoomWaitsAsLongAsEver") {
+TEST_CASE("WaitPolicy_WaitsNotForCapacityKeepTheDefaultMaximum") {
   const WaitPolicy policy;
   WaitFacts facts;
   facts.Objective = milliseconds(120);
   facts.StatementTimeout = milliseconds(400);
   facts.IsUnderWay = true;
-  CHECK(policy.limit(facts) == WaitOptions().Longest);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWait);
   facts.IsUnderWay = false;
   facts.AwaitsPrimary = true;
-  CHECK(policy.limit(facts) == WaitOptions().Longest);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWait);
   facts.IsHopeless = true;
-  CHECK(policy.limit(facts) == WaitOptions().LongestHopeless);
+  CHECK(policy.limit(facts) == WaitOptions().MaxWaitUnsendable);
 }
 
-TEST_CASE("WaitPolicy_WaitThatIsOfUseShrinksWithAge") {
+TEST_CASE("WaitPolicy_UsefulWaitShrinksWithAge") {
   const WaitPolicy policy;
   WaitFacts facts;
   facts.Objective = milliseconds(240);
@@ -64,7 +65,7 @@
   CHECK(policy.onTime(facts, milliseconds(300)) == Duration{});
   CHECK(policy.late(facts, milliseconds(300)) == milliseconds(100));
   CHECK(policy.late(facts, milliseconds(500)) == Duration{});
-  // A lender isn't told the timeout.
+  // A lender doesn't receive the timeout.
   facts.StatementTimeout = Duration{};
   CHECK(policy.late(facts, milliseconds(300)) == milliseconds(180));
 }
--- a/src/quota/tests/QuotaLedgerTest.cpp
+++ b/src/quota/tests/QuotaLedgerTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What one VM answers, and what quotas refuse and cost when nothing is
-/// wrong.
+/// \file Tests of one VM's answers, and of the refusals and the messages of
+/// quotas without faults.
 
 #include "quota/tests/SimulatedQuotas.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Keeps what one VM says to others.
+/// Records the messages that one VM sends to others.
 class RecordedIo : public IQuotaIo {
 public:
   bool askHome(const std::string &ip, const QuotaAsk &ask) override {
@@ -36,7 +36,7 @@
 const OrganisationId TheOrganisation("o");
 const TimePoint Start(std::chrono::seconds(10));
 
-/// A VM among \p vms of one hall, with a quota of 100 operations a second.
+/// The first of \p vms in one hall, with a quota of 100 operations per second.
 QuotaLedger ledgerOf(IQuotaIo &io, const std::vector<std::string> &vms) {
   QuotaOptions options;
   options.OwnIp = vms.front();
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("QuotaLedger_AskForNoneOrTooManyIsAnAskForSome") {
+TEST_CASE("QuotaLedger_AskForNoneOrTooManyGetsAValidGrant") {
   RecordedIo io;
   auto home = ledgerOf(io, {"10.0.0.1"});
   home.tick(Start);
@@ -72,13 +72,13 @@
 
 TEST_CASE("QuotaLedger_GrantOfNoneLendsNothing") {
   RecordedIo io;
-  // By the order of the homes one of the two others is asked.
+  // By the order of the homes one of the other two VMs is asked.
   auto asker = ledgerOf(io, {"10.0.0.1", "10.0.0.2", "10.0.0.3"});
   const bool isOwnHome =
       asker.admit(Start, TheOrganisation, 0) == QuotaVerdict::Granted;
   REQUIRE_FALSE(isOwnHome);
   REQUIRE(io.Asks.size() == 1);
-  // A copy: asking again makes the list grow.
+  // Copied, since asking again appends to the list.
   const auto [ip, ask] = io.Asks.front();
   asker.answered(Start, ip,
                  {ask.Number, TheOrganisation, GrantResult::Lent, -3, {}});
@@ -89,13 +89,13 @@
   CHECK(asker.admit(Start, TheOrganisation, 0) != QuotaVerdict::Granted);
 }
 
-TEST_CASE("QuotaLedger_OfOnePriorityNothingIsKept") {
+TEST_CASE("QuotaLedger_SinglePriorityHasNoReserve") {
   for (const int priority : {0, 3, -1, 99}) {
     CAPTURE(priority);
     RecordedIo io;
     auto home = ledgerOf(io, {"10.0.0.1"});
     home.tick(Start);
-    // Full, and much more is asked than the rate.
+    // The part is full, and the demand is far above the rate.
     const TimePoint full = Start + milliseconds(2000);
     int granted = 0;
     while (home.admit(full, TheOrganisation, priority) == QuotaVerdict::Granted)
@@ -104,7 +104,7 @@
     for (int n = 0; n < 500; ++n)
       CHECK(home.admit(full, TheOrganisation, priority) ==
             QuotaVerdict::Exhausted);
-    // All that is refilled is lent, but what other halls leave.
+    // All refilled operations are lent, but another hall must leave a reserve.
     const TimePoint later = full + milliseconds(500);
     home.asked(later, "10.0.1.1", {1, TheOrganisation, 100, true, priority});
     CHECK(io.Grants.back().Operations == 20);
@@ -113,25 +113,25 @@
   }
 }
 
-TEST_CASE("QuotaLedger_LendsWhatIsKeptToTheMoreUrgentOnly") {
+TEST_CASE("QuotaLedger_LendsTheReserveToMoreUrgentRequestsOnly") {
   RecordedIo io;
   auto home = ledgerOf(io, {"10.0.0.1"});
   home.tick(Start);
-  // Long after its start.
+  // Long after the part began.
   const TimePoint full = Start + milliseconds(4000);
   home.asked(full, "10.0.0.2", {1, TheOrganisation, 100, false, 0});
   CHECK(io.Grants.back().Operations == 100);
   for (int n = 0; n < 400; ++n)
     home.asked(full, "10.0.0.2", {2, TheOrganisation, 1, false, 2});
-  // Of a hundred in the last second of smoothing something is kept.
+  // For a hundred recent urgent operations a reserve is kept.
   const TimePoint later = full + milliseconds(200);
   home.asked(later, "10.0.0.2", {3, TheOrganisation, 10, false, 2});
   CHECK(io.Grants.back().Result == GrantResult::Exhausted);
   CHECK(io.Grants.back().RetryAfter > milliseconds(20));
-  // A VM that knows no priorities asks as the most urgent.
+  // An ask of a VM without priorities counts as the most urgent.
   home.asked(later, "10.0.0.3", {4, TheOrganisation, 10, false});
   CHECK(io.Grants.back().Operations == 10);
-  // What the urgent ones stop using goes to the others.
+  // Operations that the urgent requests no longer use go to the others.
   home.asked(later + milliseconds(9000), "10.0.0.2",
              {5, TheOrganisation, 100, false, 2});
   CHECK(io.Grants.back().Operations >= 90);
@@ -139,57 +139,57 @@
 
 TEST_CASE("QuotaLedger_WithoutALimitEverythingIsGranted") {
   SimulatedQuotas it(1, 3, 4, 0, 0);
-  it.play(milliseconds(2000), 500);
+  it.run(milliseconds(2000), 500);
   CHECK(it.granted() == it.asked());
-  CHECK(it.messages() == 0);
+  CHECK(it.messageCount() == 0);
 }
 
-TEST_CASE("QuotaLedger_BelowTheLimitHardlyAnythingIsRefused") {
+TEST_CASE("QuotaLedger_BelowTheLimitAtMostOnePercentIsRefused") {
   // The use is 1 / 1.6 of the rate, as operators set it.
   for (const double rate : {2.0, 10.0, 60.0, 300.0}) {
     CAPTURE(rate);
     SimulatedQuotas it(2, 3, 8, rate, rate);
-    it.play(milliseconds(3000), 0);
-    it.play(milliseconds(20000), rate / 1.6);
+    it.run(milliseconds(3000), 0);
+    it.run(milliseconds(20000), rate / 1.6);
     CHECK(it.refused() <= it.asked() / 100);
   }
 }
 
-TEST_CASE("QuotaLedger_OneVmWithAThirdOfTheUseIsHardlyRefused") {
+TEST_CASE("QuotaLedger_OneVmWithAThirdOfTheDemandIsRarelyRefused") {
   for (const double rate : {10.0, 60.0, 300.0}) {
     CAPTURE(rate);
     SimulatedQuotas it(3, 3, 8, rate, rate);
-    it.play(milliseconds(3000), 0);
-    it.play(milliseconds(20000), rate / 1.6, 1.0 / 3);
+    it.run(milliseconds(3000), 0);
+    it.run(milliseconds(20000), rate / 1.6, 1.0 / 3);
     CHECK(it.refused() <= it.asked() / 50);
   }
 }
 
-TEST_CASE("QuotaLedger_AllUseInOneHallBorrowsFromTheOthers") {
+TEST_CASE("QuotaLedger_HallWithAllTheDemandBorrowsFromTheOthers") {
   SimulatedQuotas it(4, 3, 4, 120, 120);
-  it.play(milliseconds(3000), 0);
-  it.play(milliseconds(20000), 75, 1.0);
+  it.run(milliseconds(3000), 0);
+  it.run(milliseconds(20000), 75, 1.0);
   CHECK(it.refused() <= it.asked() / 20);
 }
 
-TEST_CASE("QuotaLedger_CutHallGoesOnWithItsPart") {
+TEST_CASE("QuotaLedger_PartitionedHallGoesOnWithItsPart") {
   SimulatedQuotas it(5, 3, 8, 60, 60);
-  it.play(milliseconds(5000), 37);
+  it.run(milliseconds(5000), 37);
   const int refused = it.refused();
   const int asked = it.asked();
-  it.cutFirstHall(true);
-  it.play(milliseconds(6000), 37);
+  it.partitionFirstHall(true);
+  it.run(milliseconds(6000), 37);
   CHECK(it.refused() - refused <= (it.asked() - asked) / 25);
 }
 
-TEST_CASE("QuotaLedger_LowerLimitBindsAtOnce") {
+TEST_CASE("QuotaLedger_LowerLimitTakesEffectAtOnce") {
   SimulatedQuotas it(6, 3, 8, 300, 300);
-  it.play(milliseconds(5000), 190);
+  it.run(milliseconds(5000), 190);
   it.setLimit(20, 20);
-  // What was lent before is used up or void after a second.
-  it.play(milliseconds(1000), 190);
+  // Operations lent before are used up or void after a second.
+  it.run(milliseconds(1000), 190);
   const int granted = it.granted();
-  it.play(milliseconds(10000), 190);
+  it.run(milliseconds(10000), 190);
   CHECK(it.granted() - granted <= 10 * 20 + 20 + 20);
   CHECK(it.granted() - granted >= 10 * 20 * 8 / 10);
 }
--- a/src/quota/tests/QuotaScheduleTest.cpp
+++ b/src/quota/tests/QuotaScheduleTest.cpp
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Seeded schedules: whatever is cut, stands still, starts again or holds
-/// another list, no more operations run in any window than the operator
-/// tolerates.
+/// \file Seeded fault schedules: if VMs are partitioned, paused, restarted or
+/// have different VM lists, no more operations run in any window than the
+/// operator tolerates.
 
 #include "quota/tests/SimulatedQuotas.h"
 
@@ -16,29 +16,30 @@
 
 constexpr Duration Window = milliseconds(5000);
 
-/// What the operator tolerates in one window: a tenth and 20 operations more.
+/// The operations that the operator tolerates in one window: a tenth and 20
+/// operations more than the limit.
 double allowed(double rate, double burst) {
   const std::chrono::duration<double> window = Window;
   return (rate * window.count() + burst) * 1.1 + 20;
 }
 
-/// At least \p leastMs, and less than \p spreadMs more.
-Duration drawnTime(SimulatedQuotas &it, std::int64_t leastMs,
-                   std::uint64_t spreadMs) {
+/// A random time of at least \p leastMs, and less than \p spreadMs more.
+Duration randomTime(SimulatedQuotas &it, std::int64_t leastMs,
+                    std::uint64_t spreadMs) {
   return milliseconds(leastMs +
                       static_cast<std::int64_t>(it.random()() % spreadMs));
 }
 
-void disturb(SimulatedQuotas &it, bool &isCut) {
+void injectFault(SimulatedQuotas &it, bool &isPartitioned) {
   const std::size_t vm = it.random()() % it.size();
   switch (it.random()() % 6) {
   case 0:
-    isCut = !isCut;
-    return it.cutFirstHall(isCut);
+    isPartitioned = !isPartitioned;
+    return it.partitionFirstHall(isPartitioned);
   case 1:
     return it.restart(vm);
   case 2:
-    return it.freeze(vm, drawnTime(it, 200, 4000));
+    return it.pause(vm, randomTime(it, 200, 4000));
   case 3:
     return it.setListed(vm, false);
   case 4:
@@ -50,72 +51,73 @@
 
 } // namespace
 
-TEST_CASE("QuotaSchedule_FloodNeverPassesTheLimit") {
+TEST_CASE("QuotaSchedule_FloodNeverExceedsTheLimit") {
   for (std::uint64_t seed = 1; seed <= 24; ++seed) {
     const double rate = seed % 3 == 0 ? 6 : seed % 3 == 1 ? 30 : 150;
     CAPTURE(seed);
     CAPTURE(rate);
     SimulatedQuotas it(seed, 3, 5, rate, rate);
-    bool isCut = false;
-    it.play(milliseconds(4000), 0);
+    bool isPartitioned = false;
+    it.run(milliseconds(4000), 0);
     for (int i = 0; i < 12; ++i) {
-      it.play(drawnTime(it, 300, 1500), 3 * rate);
-      disturb(it, isCut);
+      it.run(randomTime(it, 300, 1500), 3 * rate);
+      injectFault(it, isPartitioned);
     }
-    CHECK(it.mostIn(Window) <= allowed(rate, rate));
+    CHECK(it.maxIn(Window) <= allowed(rate, rate));
   }
 }
 
-TEST_CASE("QuotaSchedule_AllVmsStartAgainUnderAFlood") {
+TEST_CASE("QuotaSchedule_AllVmsRestartDuringAFlood") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
     SimulatedQuotas it(seed, 3, 5, 100, 100);
-    it.play(milliseconds(4000), 0);
+    it.run(milliseconds(4000), 0);
     for (int i = 0; i < 5; ++i) {
-      it.play(milliseconds(900), 300);
+      it.run(milliseconds(900), 300);
       it.restartAll();
     }
-    it.play(milliseconds(3000), 300);
-    CHECK(it.mostIn(Window) <= allowed(100, 100));
+    it.run(milliseconds(3000), 300);
+    CHECK(it.maxIn(Window) <= allowed(100, 100));
   }
 }
 
-TEST_CASE("QuotaSchedule_FloodOfSeveralPrioritiesNeverPassesTheLimit") {
+TEST_CASE("QuotaSchedule_FloodOfSeveralPrioritiesNeverExceedsTheLimit") {
   for (std::uint64_t seed = 101; seed <= 124; ++seed) {
     const double rate = seed % 3 == 0 ? 6 : seed % 3 == 1 ? 30 : 150;
     CAPTURE(seed);
     CAPTURE(rate);
     SimulatedQuotas it(seed, 3, 5, rate, rate);
-    it.setReturns(3);
-    bool isCut = false;
-    it.play(milliseconds(4000), 0);
+    it.setMaxReturns(3);
+    bool isPartitioned = false;
+    it.run(milliseconds(4000), 0);
     for (int i = 0; i < 12; ++i) {
-      // Which requests come, and from where, changes with each disturbance.
+      // The requests and the VMs that get them change with each fault.
       const double urgent = static_cast<double>(it.random()() % 20) / 10;
-      const double toFirst = static_cast<double>(it.random()() % 3) / 2;
-      it.playAll(drawnTime(it, 300, 1500),
-                 {{0, urgent * rate}, {1, rate}, {3, 2 * rate}}, toFirst);
-      disturb(it, isCut);
+      const double firstVmFraction = static_cast<double>(it.random()() % 3) / 2;
+      it.runAll(randomTime(it, 300, 1500),
+                {{0, urgent * rate}, {1, rate}, {3, 2 * rate}},
+                firstVmFraction);
+      injectFault(it, isPartitioned);
     }
-    CHECK(it.mostIn(Window) <= allowed(rate, rate));
+    CHECK(it.maxIn(Window) <= allowed(rate, rate));
   }
 }
 
-TEST_CASE("QuotaSchedule_HomesStartAgainInSeriesUnderAFlood") {
+TEST_CASE("QuotaSchedule_HomesRestartInSeriesDuringAFlood") {
   for (std::uint64_t seed = 201; seed <= 212; ++seed) {
     const double rate = seed % 2 == 0 ? 30 : 150;
     CAPTURE(seed);
     CAPTURE(rate);
     SimulatedQuotas it(seed, 3, 5, rate, rate);
-    it.play(milliseconds(4000), 0);
-    // Every VM once within a window or so; some stand still before, and answers
-    // reach them late.
+    it.run(milliseconds(4000), 0);
+    // Every VM restarts once within about a window; some are paused before, so
+    // that answers reach them late.
     for (std::size_t vm = 0; vm < it.size(); ++vm) {
-      it.playAll(drawnTime(it, 100, 500), {{0, rate}, {2, 3 * rate}});
-      it.freeze(it.random()() % it.size(), drawnTime(it, 100, 2000));
+      it.runAll(randomTime(it, 100, 500), {{0, rate}, {2, 3 * rate}});
+      it.pause(it.random()() % it.size(), randomTime(it, 100, 2000));
       it.restart(vm);
     }
-    it.playAll(milliseconds(3000), {{0, rate}, {2, 3 * rate}});
-    CHECK(it.mostIn(Window) <= allowed(rate, rate));
+    it.runAll(milliseconds(3000), {{0, rate}, {2, 3 * rate}});
+    CHECK(it.maxIn(Window) <= allowed(rate, rate));
   }
 }
--- a/src/quota/tests/SimulatedQuotas.h
+++ b/src/quota/tests/SimulatedQuotas.h
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Entry VMs in halls that keep quotas, over links that delay, cut and
-/// lose, driven by a seed.
+/// \file A simulation, driven by a seed, of entry VMs that keep quotas in
+/// several halls, with links that delay and lose messages and can be
+/// partitioned.
 
 #ifndef STEPLEDGE_QUOTA_TESTS_SIMULATEDQUOTAS_H
 #define STEPLEDGE_QUOTA_TESTS_SIMULATEDQUOTAS_H
@@ -25,7 +26,7 @@
   double PerSecond = 0;
 };
 
-/// One organisation, "o", asks through all VMs.
+/// One organisation, "o", asks for operations through all VMs.
 class SimulatedQuotas {
 public:
   SimulatedQuotas(std::uint64_t seed, int halls, int vmsPerHall, double rate,
@@ -34,47 +35,49 @@
   SimulatedQuotas(const SimulatedQuotas &) = delete;
   SimulatedQuotas &operator=(const SimulatedQuotas &) = delete;
 
-  /// Lets time pass while clients ask \p perSecond operations; of every VM
-  /// alike, or a part \p toFirst of them of the first one.
-  void play(Duration time, double perSecond, double toFirst = 0);
+  /// Runs for \p time while clients ask for \p perSecond operations, evenly
+  /// over all VMs, but with a fraction of \p firstVmFraction at the first VM.
+  void run(Duration time, double perSecond, double firstVmFraction = 0);
   /// The same for several priorities at once.
-  void playAll(Duration time, const std::vector<SimulatedLoad> &loads,
-               double toFirst = 0);
-  /// Refused callers come back so often, each when it was told to.
-  void setReturns(int most) { MostReturns = most; }
+  void runAll(Duration time, const std::vector<SimulatedLoad> &loads,
+              double firstVmFraction = 0);
+  /// Refused callers return up to this many times, each after its retry delay.
+  void setMaxReturns(int most) { MaxReturns = most; }
   void setLimit(double rate, double burst);
-  /// The first hall hears nobody else, and nobody hears it.
-  void cutFirstHall(bool isCut) { IsFirstHallCut = isCut; }
-  /// A VM starts again and knows nothing of before; it is away for a moment.
+  /// Partitions the first hall from the others, or ends that.
+  void partitionFirstHall(bool isPartitioned) {
+    IsFirstHallPartitioned = isPartitioned;
+  }
+  /// Restarts a VM without its state; it is unreachable for a moment.
   void restart(std::size_t vm);
   void restartAll();
-  /// A VM stands still, and goes on with what it had.
-  void freeze(std::size_t vm, Duration time);
-  /// A VM disappears from the lists of the others, or comes back.
+  /// Pauses a VM, which then goes on with the state that it had.
+  void pause(std::size_t vm, Duration time);
+  /// Removes a VM from the lists of the others, or adds it again.
   void setListed(std::size_t vm, bool isListed);
 
   std::size_t size() const { return Vms.size(); }
   std::mt19937_64 &random() { return Random; }
-  /// The most operations run in any span of \p window.
-  int mostIn(Duration window) const;
+  /// The highest number of operations that ran in any span of \p window.
+  int maxIn(Duration window) const;
   int granted() const { return static_cast<int>(GrantedAt.size()); }
   int granted(int priority) const { return countOf(Grants, priority); }
-  /// Operations refused, of those asked.
+  /// Refusals of the operations asked for.
   int refused() const { return sumOf(Refused); }
   int refused(int priority) const { return countOf(Refused, priority); }
   int asked() const { return sumOf(Asked); }
   int asked(int priority) const { return countOf(Asked, priority); }
   /// Messages between VMs.
-  int messages() const { return Messages; }
+  int messageCount() const { return MessageCount; }
 
 private:
   struct Vm;
-  struct Parcel {
+  struct Message {
     TimePoint At{};
     std::size_t From = 0;
     std::size_t To = 0;
-    /// Of the sender's life; what was sent in an earlier one is lost.
-    int Life = 0;
+    /// The sender's incarnation; messages of an earlier one are lost.
+    int Incarnation = 0;
     std::variant<QuotaAsk, QuotaGrant> Body;
   };
 
@@ -90,9 +93,9 @@
 
   void step();
   void ask(std::size_t vm, Caller caller);
-  void askAgain();
+  void askDueCallers();
   void refuse(Vm &vm, Caller caller);
-  void pump(Vm &vm);
+  void admitWaiting(Vm &vm);
   bool isLinked(std::size_t a, std::size_t b) const;
   void send(std::size_t from, const std::string &ip,
             std::variant<QuotaAsk, QuotaGrant> body);
@@ -102,16 +105,16 @@
   std::mt19937_64 Random;
   TimePoint Now = TimePoint(std::chrono::seconds(10));
   std::vector<std::unique_ptr<Vm>> Vms;
-  std::deque<Parcel> Parcels;
+  std::deque<Message> InFlight;
   std::map<OrganisationId, control::Organisation> Organisations;
-  bool IsFirstHallCut = false;
+  bool IsFirstHallPartitioned = false;
   std::vector<TimePoint> GrantedAt;
   Counts Grants;
   Counts Asked;
   Counts Refused;
-  std::multimap<TimePoint, Caller> Returning;
-  int MostReturns = 0;
-  int Messages = 0;
+  std::multimap<TimePoint, Caller> ReturningCallers;
+  int MaxReturns = 0;
+  int MessageCount = 0;
 };
 
 } // namespace stepledge::quota::tests
--- a/src/scheduling/FairShares.h
+++ b/src/scheduling/FairShares.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file How much of one contested line each organisation has had of late, and
-/// where its next statement starts: start-time fair queueing.
+/// \file Start-time fair queueing: how much of one contested queue each
+/// organisation has used recently, and the start tag of its next statement.
 
 #ifndef STEPLEDGE_SCHEDULING_FAIRSHARES_H
 #define STEPLEDGE_SCHEDULING_FAIRSHARES_H
@@ -19,67 +19,69 @@
 
 struct ShareOptions {
   /// An organisation that has used nothing for this long starts like the
-  /// others: a longer memory would hold a flood against it that is over.
-  Duration Memory = std::chrono::seconds(5);
-  /// Where nobody has waited for so long, what is used is at nobody's expense.
-  /// A VM looks at what waits every 10 to 40 ms.
+  /// others: a longer memory would count a past flood against it.
+  Duration UsageRetention = std::chrono::seconds(5);
+  /// If no statement has waited for this long, usage is at no organisation's
+  /// expense. A VM checks its waiting statements every 10 to 40 ms.
   Duration IdleAfter = milliseconds(100);
-  /// One in so many services goes to the one that has waited longest and can
-  /// still be answered in time, so that no kind of statement starves; the
-  /// others can spare that room.
-  std::uint64_t FloorInterval = 20;
-  /// So many statements may an average organisation be ahead of another whose
-  /// statements are less urgent; one of another weight by its root, since what
-  /// comes together by chance grows so.
-  double Lead = 4;
+  /// One in this many services goes to the statement that has waited longest
+  /// and can still be answered in time, so that no kind of statement starves;
+  /// the others can spare that capacity.
+  std::uint64_t OldestFirstInterval = 20;
+  /// How many statements an organisation of average weight may be over its fair
+  /// share and still go before less urgent statements of others. For another
+  /// weight it is scaled by the root of the weight, since random bursts grow
+  /// with the root of the rate.
+  double OverShareTolerance = 4;
 };
 
-/// Virtual time is slot time divided by the weight of its organisation. It
-/// stands where the least of those that wait starts, so that what was unused
-/// can't be saved up, and what nobody else wanted isn't held against anyone.
+/// Virtual time is slot time divided by the organisation's weight. It is set to
+/// the lowest start tag of the waiting organisations, so that unused capacity
+/// can't be saved up, and capacity that no other organisation wanted isn't
+/// counted against any.
 class FairShares {
 public:
   explicit FairShares(ShareOptions options = {}) : Options(options) {}
 
-  /// A statement or the opening of a connection for \p organisation has held a
-  /// slot for \p slotTime.
+  /// Records that a statement or the opening of a connection for
+  /// \p organisation has held a slot for \p slotTime.
   void noteUse(TimePoint now, const OrganisationId &organisation,
                Duration slotTime, double weight);
-  /// Who waits now.
-  void noteWaiting(TimePoint now, const std::set<OrganisationId> &waiting);
-  /// The virtual time at which its next statement starts, in microseconds; the
-  /// least goes first.
-  double startOf(const OrganisationId &organisation) const;
-  /// It has had so much more than another one that waits that urgency no longer
-  /// helps; \p start is of its next statement.
-  bool isAhead(double start, double weight) const {
+  /// Sets the organisations that have waiting statements now.
+  void setWaiting(TimePoint now, const std::set<OrganisationId> &waiting);
+  /// The start tag of the organisation's next statement: a virtual time in
+  /// microseconds. The lowest goes first.
+  double startTagOf(const OrganisationId &organisation) const;
+  /// Whether an organisation is so far over its fair share that urgency no
+  /// longer helps; \p start is the start tag of its next statement.
+  bool isOverShare(double start, double weight) const {
     return start - VirtualTime >
-           Options.Lead * UsualSlotTime / std::sqrt(weight);
+           Options.OverShareTolerance * UsualSlotTime / std::sqrt(weight);
   }
-  /// What one more statement adds to its start at the usual slot time.
-  double step(double weight) const { return UsualSlotTime / weight; }
-  bool isFloorsTurn() const {
-    return Services > 0 && Services % Options.FloorInterval == 0;
+  /// What one more statement of the usual slot time adds to the start tag.
+  double startTagStep(double weight) const { return UsualSlotTime / weight; }
+  bool isOldestFirstTurn() const {
+    return Services > 0 && Services % Options.OldestFirstInterval == 0;
   }
-  /// Organisations that waited at the last look behind another that had had
-  /// less.
-  std::size_t heldBack(TimePoint now) const {
-    return isIdle(now) ? 0 : HeldBack;
+  /// The number of organisations that waited at the last check behind another
+  /// that had used less.
+  std::size_t deferredCount(TimePoint now) const {
+    return isIdle(now) ? 0 : DeferredCount;
   }
-  /// Nothing that is kept still matters.
-  bool isOver(TimePoint now) const;
+  /// Whether the kept usage no longer matters.
+  bool isExpired(TimePoint now) const;
   std::size_t size() const { return Accounts.size(); }
 
 private:
   struct Account {
-    double Finish = 0;
+    double FinishTag = 0;
     TimePoint UsedAt{};
   };
 
   bool isIdle(TimePoint now) const {
-    return now - LookedAt > Options.IdleAfter;
+    return now - CheckedAt > Options.IdleAfter;
   }
-  void forget(TimePoint now);
+  void removeExpired(TimePoint now);
 
   ShareOptions Options;
   std::map<OrganisationId, Account> Accounts;
@@ -87,10 +89,10 @@
   /// Smoothed, in microseconds.
   double UsualSlotTime = 0;
   std::uint64_t Services = 0;
-  std::size_t HeldBack = 0;
-  TimePoint LookedAt{};
+  std::size_t DeferredCount = 0;
+  TimePoint CheckedAt{};
   TimePoint UsedAt{};
-  TimePoint ForgottenAt{};
+  TimePoint ExpiredAt{};
 };
 
 } // namespace stepledge::scheduling
--- a/src/scheduling/ServingLine.h
+++ b/src/scheduling/ServingLine.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file In which order waiting statements get a connection, at the VM that
-/// their clients asked and at one that lends.
+/// \file The order in which waiting statements get a connection, at the VM that
+/// their clients asked and at a lender.
 
 #ifndef STEPLEDGE_SCHEDULING_SERVINGLINE_H
 #define STEPLEDGE_SCHEDULING_SERVINGLINE_H
@@ -19,8 +19,8 @@
 
 namespace stepledge::scheduling {
 
-struct LineOptions {
-  /// Where statements have waited for longer, the line is overloaded: a good
+struct QueueSchedulerOptions {
+  /// A queue in which a statement has waited for longer is overloaded: a good
   /// part of the latency objectives, which are some 150 to 600 ms.
   Duration OverloadAge = milliseconds(100);
   ShareOptions Shares;
@@ -28,20 +28,21 @@
 
 class ServingLine {
 public:
-  explicit ServingLine(LineOptions options = {}) : Options(options) {}
+  explicit ServingLine(QueueSchedulerOptions options = {}) : Options(options) {}
 
-  /// From now on the organisations share each line by their rates, operations
-  /// a second and 0 for none; without any organisation nobody is told apart.
+  /// Sets the rates by which the organisations share each queue, in operations
+  /// per second and 0 for none; without any organisation all statements are
+  /// treated alike.
   void setRates(const std::map<OrganisationId, double> &rates);
-  /// A statement or the opening of a connection for \p organisation has held a
-  /// slot for \p slotTime.
-  void noteUse(TimePoint now, const LineId &line,
+  /// Records that a statement or the opening of a connection for
+  /// \p organisation has held a slot for \p slotTime.
+  void noteUse(TimePoint now, const LineId &queue,
                const OrganisationId &organisation, Duration slotTime);
 
-  /// The keys of \p waiters, who are in the order of their arrival, with the
+  /// The keys of \p waiters, which are in the order of their arrival, with the
   /// one to serve first in front.
   template <typename Key>
-  std::vector<Key> inOrder(TimePoint now, const LineId &line,
+  std::vector<Key> inOrder(TimePoint now, const LineId &queue,
                            std::vector<std::pair<WaitRank, Key>> waiters) {
     std::vector<WaitRank> ranks;
     ranks.reserve(waiters.size());
@@ -50,32 +51,33 @@
     std::vector<Key> keys;
     keys.reserve(waiters.size());
     for (const auto i :
-         IsFair ? fairOrder(now, line, ranks) : order(now, ranks))
+         IsFair ? fairOrder(now, queue, ranks) : order(now, ranks))
       keys.push_back(std::move(waiters[i].second));
     return keys;
   }
 
   /// Indices into \p ranks, the one to serve first in front. First come, first
-  /// served; once somebody has waited too long, those that can still be
+  /// served; once a statement has waited too long, those that can still be
   /// answered in time go first, the tightest objectives before the others and
   /// the newest before the older: first come, first served would make all late.
   std::vector<std::size_t> order(TimePoint now,
                                  const std::vector<WaitRank> &ranks) const;
-  /// The same between organisations: what can still be answered in time goes
-  /// first, then the organisation that has had least for its weight; each
-  /// organisation's own statements are in the order above.
-  std::vector<std::size_t> fairOrder(TimePoint now, const LineId &line,
+  /// The same between organisations: statements that can still be answered in
+  /// time go first, then the organisation that has used least for its weight;
+  /// each organisation's own statements are in the order above.
+  std::vector<std::size_t> fairOrder(TimePoint now, const LineId &queue,
                                      const std::vector<WaitRank> &ranks);
-  /// Organisations that wait behind another that has had less, at any line.
+  /// The number of organisations that wait behind another that has used less,
+  /// in any queue.
   std::size_t heldBack(TimePoint now) const;
 
 private:
-  FairShares &sharesOf(TimePoint now, const LineId &line);
+  FairShares &sharesOf(TimePoint now, const LineId &queue);
 
-  LineOptions Options;
+  QueueSchedulerOptions Options;
   bool IsFair = false;
   ShareWeights Weights;
-  std::map<LineId, FairShares> Lines;
+  std::map<LineId, FairShares> SharesByQueue;
 };
 
 } // namespace stepledge::scheduling
--- a/src/scheduling/tests/OtherOrders.h
+++ b/src/scheduling/tests/AlternativeOrders.h
@@ -1,11 +1,11 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Orders that were weighed against the one that is used, and the one
-/// that is used without organisations.
+/// \file Alternatives to the order of service that the product uses, for
+/// comparison, and the product's order, with or without organisations.
 
-#ifndef STEPLEDGE_SCHEDULING_TESTS_OTHERORDERS_H
-#define STEPLEDGE_SCHEDULING_TESTS_OTHERORDERS_H
+#ifndef STEPLEDGE_SCHEDULING_TESTS_ALTERNATIVEORDERS_H
+#define STEPLEDGE_SCHEDULING_TESTS_ALTERNATIVEORDERS_H
 
 #include "scheduling/ServingLine.h"
 #include "scheduling/tests/FakeInstance.h"
@@ -16,20 +16,21 @@
 
 using Rates = std::map<OrganisationId, double>;
 
-/// What the product does; without rates nobody is told apart.
-class LineOrder : public IOrder {
+/// The order that the product uses; without rates all organisations are treated
+/// alike.
+class ProductOrder : public IServiceOrder {
 public:
-  explicit LineOrder(const Rates &rates) { Line.setRates(rates); }
+  explicit ProductOrder(const Rates &rates) { Scheduler.setRates(rates); }
   std::size_t pick(TimePoint now, const std::vector<WaitRank> &ranks) override;
   void noteUse(TimePoint now, const OrganisationId &organisation,
                Duration took) override;
 
 private:
-  ServingLine Line;
+  ServingLine Scheduler;
 };
 
-/// Start-time fair queueing among the most urgent that are waiting.
-class PriorityFirst : public IOrder {
+/// Start-time fair queueing among the most urgent waiting statements.
+class PriorityFirst : public IServiceOrder {
 public:
   explicit PriorityFirst(const Rates &rates) : Weights(rates) {}
   std::size_t pick(TimePoint now, const std::vector<WaitRank> &ranks) override;
@@ -41,8 +42,9 @@
   FairShares Shares;
 };
 
-/// Organisations take turns; in each turn one has a quantum of slot time more.
-class DeficitRoundRobin : public IOrder {
+/// Organisations take turns; each turn adds a quantum of slot time to the
+/// organisation's credit.
+class DeficitRoundRobin : public IServiceOrder {
 public:
   explicit DeficitRoundRobin(const Rates &rates) : Weights(rates) {}
   std::size_t pick(TimePoint now, const std::vector<WaitRank> &ranks) override;
@@ -58,4 +60,4 @@
 
 } // namespace stepledge::scheduling::tests
 
-#endif // STEPLEDGE_SCHEDULING_TESTS_OTHERORDERS_H
+#endif // STEPLEDGE_SCHEDULING_TESTS_ALTERNATIVEORDERS_H
