--- a/src/membership/HomeTable.cpp
+++ b/src/membership/HomeTable.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// \p ips in the order in which \p organisation asks them for \p instance.
+/// \p ips by the preference of \p organisation for \p instance.
 std::vector<std::string> ordered(std::vector<std::string> ips,
                                  const InstanceId &instance,
                                  const OrganisationId &organisation) {
@@ -36,8 +36,8 @@
 }
 
 bool HomeTable::isNeeded(int usable) const {
-  // NOTE: below one and a half connections a VM, a transaction that holds one
-  // leaves the other statements of its VM without.
+  // NOTE: with fewer than 1.5 connections per VM, a transaction that holds one
+  // leaves none for the other statements of its VM.
   return 2 * usable < 3 * static_cast<int>(Entries.size());
 }
 
@@ -109,8 +109,9 @@
   const auto found = Rankings.find(instance);
   if (found != Rankings.end() && found->second.Share == share)
     return found->second;
-  // VMs in the instance's hall come first: they lose it only with their hall,
-  // and the bytes between halls are the same as without them.
+  // VMs in the instance's hall come first: they lose the instance only together
+  // with their hall, and the traffic between halls is the same as without
+  // homes.
   std::vector<std::tuple<bool, std::uint64_t, std::string>> ranked;
   ranked.reserve(Entries.size());
   for (const auto &it : Entries)
@@ -120,8 +121,8 @@
   const auto count =
       std::min(ranked.size(), static_cast<std::size_t>(share.Homes));
   const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(count);
-  // The guests are in other halls where there are any, since a VM that doesn't
-  // reach the instance's hall may reach it by a third one.
+  // Non-homes are picked from other halls first: a VM that can't reach the
+  // instance's hall directly may reach it through a third hall.
   std::sort(end, ranked.end(), [](const auto &a, const auto &b) {
     return std::tuple(!std::get<bool>(a), std::get<std::uint64_t>(a)) <
            std::tuple(!std::get<bool>(b), std::get<std::uint64_t>(b));
@@ -129,7 +130,8 @@
   const auto guests =
       std::min(ranked.size() - count, static_cast<std::size_t>(share.Guests));
   ranked.erase(end + static_cast<std::ptrdiff_t>(guests), ranked.end());
-  // Each VM has its own first choice, so that the homes share the work.
+  // Each VM has its own order of the homes, so that borrowing is spread over
+  // them.
   std::sort(ranked.begin(), end, [&](const auto &a, const auto &b) {
     return rendezvousWeight(std::get<std::string>(a), OwnIp) <
            rendezvousWeight(std::get<std::string>(b), OwnIp);
--- a/src/membership/HomeTable.h
+++ b/src/membership/HomeTable.h
@@ -1,10 +1,11 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which VMs hold the connections to an instance where there are too few
-/// for every VM to have its own: rendezvous hashing over the live VMs, so that
-/// all VMs with the same list agree without a word, and a VM that comes or goes
-/// moves only its own part.
+/// \file Selection of the home VMs of an instance: where connections are too
+/// few for every VM to open its own, rendezvous hashing over the live VMs picks
+/// the VMs that open them. All VMs with the same list get the same result
+/// without exchanging messages, and a VM that joins or leaves moves only its
+/// own part.
 
 #ifndef STEPLEDGE_MEMBERSHIP_HOMETABLE_H
 #define STEPLEDGE_MEMBERSHIP_HOMETABLE_H
@@ -18,22 +19,24 @@
 namespace stepledge::membership {
 
 struct HomeOptions {
-  /// The most VMs that hold connections to one instance: enough that the loss
-  /// of one is no loss of service, few enough that each keeps some connections.
+  /// The maximum number of homes of one instance: enough that losing one
+  /// doesn't interrupt service, few enough that each keeps several connections.
   int MostHomes = 6;
-  /// The fewest connections that a home should have for that number of homes.
+  /// The minimum number of connections per home; an instance with fewer
+  /// connections has fewer homes.
   int FewestConnections = 4;
-  /// The part of an instance's connections (one in so many) left to VMs that
-  /// are no homes: one each, for the case that a home is full or cut off.
+  /// One in this many of an instance's connections is left to non-home VMs, one
+  /// each, as a fallback for a home that is full or unreachable.
   int GuestShare = 8;
 };
 
-/// How the connections to one instance are shared out.
+/// How the connections to one instance are divided among the VMs.
 struct HomeShare {
   int Homes = 1;
-  /// For each home. Homes times this and the guests are within the limit.
+  /// Connections per home. The homes' and the non-homes' connections together
+  /// are within the limit.
   int Connections = 1;
-  /// Other VMs that may hold one connection each.
+  /// The number of non-home VMs that may hold one connection each.
   int Guests = 0;
   bool operator==(const HomeShare &) const = default;
 };
@@ -46,32 +49,33 @@
   void setEntries(std::vector<EntryVm> entries);
   const std::vector<EntryVm> &entries() const { return Entries; }
 
-  /// True where \p usable connections don't go round for all VMs.
+  /// True if \p usable connections are too few for every VM to have its own.
   bool isNeeded(int usable) const;
   HomeShare share(int usable) const;
-  /// This VM's part of \p connections to \p instance in \p hall that all VMs
-  /// share out evenly, at least one. What doesn't go round goes to the VMs of
-  /// the instance's hall first, which ask it for reads, then to other VMs for
-  /// each instance. Over all VMs with the same list the parts make up
-  /// \p connections where these are as many as the VMs.
+  /// This VM's even part, at least one, of the \p connections to \p instance in
+  /// \p hall. The remainder goes first to the VMs in the instance's hall, which
+  /// send it reads, then to VMs that differ by instance. Where there are at
+  /// least as many connections as VMs, the parts of all VMs with the same list
+  /// add up to \p connections.
   int evenShare(const InstanceId &instance, const HallId &hall,
                 int connections);
   bool isHome(const InstanceId &instance, const HallId &hall,
               const HomeShare &share);
-  /// The VMs to ask for a connection to \p instance in \p hall, best first,
-  /// without this one: the homes in this VM's own order, then the guests.
+  /// The VMs to borrow a connection to \p instance in \p hall from, most
+  /// preferred first and without this VM: the homes in this VM's own order,
+  /// then the non-homes.
   const std::vector<std::string> &lenders(const InstanceId &instance,
                                           const HallId &hall,
                                           const HomeShare &share);
 
-  /// The homes in \p organisation's own order, this VM among them if it is one:
-  /// all VMs with the same list ask the same home first, so that the
-  /// organisation needs a connection only there.
+  /// The homes in the order of preference of \p organisation, including this VM
+  /// if it is a home. All VMs with the same list ask the same home first, so
+  /// the organisation needs a connection only there.
   std::vector<std::string> homesOf(const InstanceId &instance,
                                    const HallId &hall, const HomeShare &share,
                                    const OrganisationId &organisation);
-  /// VMs that are no homes and may hold one connection, in \p organisation's
-  /// own order, so that not all turn to the same one.
+  /// The non-home VMs that may hold one connection, in an order that differs by
+  /// \p organisation, so that requests are spread over them.
   std::vector<std::string> guestsOf(const InstanceId &instance,
                                     const HallId &hall, const HomeShare &share,
                                     const OrganisationId &organisation);
@@ -84,8 +88,8 @@
     std::vector<std::string> Homes;
     std::vector<std::string> Guests;
   };
-  /// How many VMs come before this one where connections to the instance are
-  /// left over.
+  /// How many VMs precede this one when the remainder of the connections to the
+  /// instance is assigned.
   int placeOf(const InstanceId &instance, const HallId &hall);
   const Ranking &ranking(const InstanceId &instance, const HallId &hall,
                          const HomeShare &share);
@@ -93,11 +97,12 @@
   std::string OwnIp;
   HomeOptions Options;
   std::vector<EntryVm> Entries;
-  /// Worked out when first asked for, forgotten when the VMs change.
+  /// Computed on demand; cleared when the list of VMs changes.
   std::map<InstanceId, Ranking> Rankings;
-  /// Likewise. A share is asked for per free connection and tick; without this
-  /// it took 3.1 us among 69 VMs and 14.6 us among 300, with it 0.07 and 0.08
-  /// (timed alone), and a small processor has some 1,000 us in such a tick.
+  /// Cached the same way: a share is computed per free connection and tick,
+  /// which took 3.1 us with 69 VMs and 14.6 us with 300 without the cache and
+  /// takes 0.07 and 0.08 us with it, while a tick has about 1,000 us on a small
+  /// processor.
   std::map<InstanceId, int> Places;
 };
 
--- a/src/membership/InstanceDirectory.cpp
+++ b/src/membership/InstanceDirectory.cpp
@@ -12,8 +12,8 @@
     return known;
   if (word.BornMs > known.BornMs) {
     InstanceRecord next = word;
-    // NOTE: an instance that gives the time of its start only now may have
-    // started long ago.
+    // NOTE: a start time reported for the first time is no restart: the
+    // instance may have started long ago.
     next.HasRestarted |= known.BornMs != 0;
     return next;
   }
--- a/src/membership/InstanceDirectory.h
+++ b/src/membership/InstanceDirectory.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file All instances that are known by their heartbeats, newest word first.
+/// \file The known instances, each with its newest heartbeat.
 
 #ifndef STEPLEDGE_MEMBERSHIP_INSTANCEDIRECTORY_H
 #define STEPLEDGE_MEMBERSHIP_INSTANCEDIRECTORY_H
@@ -15,33 +15,34 @@
 
 namespace stepledge::membership {
 
-/// What a heartbeat brought.
+/// The effect of a heartbeat on the directory.
 enum class Change {
-  /// A late or repeated word.
+  /// The heartbeat was late or a duplicate.
   None,
-  /// Nothing but that the instance lives.
+  /// The instance is alive; nothing else has changed.
   Alive,
-  /// Something that others have to hear.
+  /// The record has changed, and other VMs must receive it.
   Changed,
-  /// The same, and the instance has started again under its id: what was
-  /// learned from its earlier life holds no longer.
+  /// As Changed, and the instance has restarted under its id: the state learned
+  /// from its previous incarnation is no longer valid.
   Restarted,
 };
 
-/// What is known once \p word has come after \p known of the same instance. A
-/// state is never undone within a life, not even by a later word.
+/// The record that results from \p known and the heartbeat \p word of the same
+/// instance. A state is never reverted within an incarnation, not even by a
+/// later heartbeat.
 InstanceRecord merged(const InstanceRecord &known, const InstanceRecord &word);
 
 class InstanceDirectory {
 public:
-  /// Takes in what was heard of an instance, here or elsewhere.
+  /// Merges a record received from the instance or from another VM.
   Change merge(TimePoint now, const InstanceRecord &record);
-  /// The state of the life that began at \p bornMs is raised to \p state, for
-  /// good.
+  /// Permanently raises the state of the incarnation that started at \p bornMs
+  /// to \p state.
   bool raise(const InstanceId &id, std::uint64_t bornMs, InstanceState state);
   const InstanceRecord *find(const InstanceId &id) const;
   std::vector<InstanceRecord> all() const;
-  /// Valid until the next change, as what forEach gives.
+  /// Valid until the next change, like the references that forEach passes.
   std::vector<const InstanceRecord *>
   ofService(const std::string &service) const;
   std::vector<std::string> services() const;
@@ -50,7 +51,7 @@
       visit(it.Record);
   }
   std::size_t size() const { return Instances.size(); }
-  /// Drops instances that have long been silent, and tells which.
+  /// Removes and returns the instances without a heartbeat within \p silence.
   std::vector<InstanceRecord> expire(TimePoint now, Duration silence);
 
 private:
@@ -62,9 +63,9 @@
   void unlist(const InstanceRecord &record);
 
   std::map<InstanceId, Known> Instances;
-  /// A leader looks at each service some fifty times a second. A walk over all
-  /// instances for each took 0.6 of a core before 400 services, and more than
-  /// there is before 1,300.
+  /// The leader checks each service about 50 times a second. Scanning all
+  /// instances for each took 0.6 of a core with 400 services, and more CPU than
+  /// there is with 1,300.
   std::map<std::string, std::set<InstanceId>> ByService;
 };
 
--- a/src/membership/InstanceNames.h
+++ b/src/membership/InstanceNames.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Which texts may name an instance, its service, hall or address.
+/// \file Validation of the names of instances, services and halls, and of
+/// addresses.
 
 #ifndef STEPLEDGE_MEMBERSHIP_INSTANCENAMES_H
 #define STEPLEDGE_MEMBERSHIP_INSTANCENAMES_H
@@ -12,11 +13,11 @@
 
 namespace stepledge::membership {
 
-/// The longest name, in bytes: that of a host in DNS.
+/// The maximum length of a name in bytes, the same as for a DNS host name.
 constexpr std::size_t MostNameBytes = 255;
 
-/// Names are written into lines that blanks and line ends part, so they hold
-/// printable ASCII only.
+/// Names are written into lines whose fields are separated by spaces, so they
+/// may hold only printable ASCII without spaces.
 inline bool isName(const std::string &text) {
   return !text.empty() && text.size() <= MostNameBytes &&
          std::all_of(text.begin(), text.end(),
--- a/src/membership/Rendezvous.h
+++ b/src/membership/Rendezvous.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Rendezvous hashing: VMs that know the same names give them the same
-/// order without a word.
+/// \file Rendezvous hashing: VMs with the same list of names order them alike
+/// without exchanging messages.
 
 #ifndef STEPLEDGE_MEMBERSHIP_RENDEZVOUS_H
 #define STEPLEDGE_MEMBERSHIP_RENDEZVOUS_H
@@ -14,7 +14,7 @@
 
 namespace stepledge::membership {
 
-/// The least goes first.
+/// The lowest weight comes first.
 inline std::uint64_t rendezvousWeight(const std::string &first,
                                       const std::string &second) {
   return XXH64(first.data(), first.size(),
--- a/src/membership/tests/HomeTableTest.cpp
+++ b/src/membership/tests/HomeTableTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Homes of instances: all VMs agree, the limit holds, work is spread,
-/// and a VM that goes moves little.
+/// \file Homes of instances: all VMs agree on them, the connection limit holds,
+/// load is spread, and a VM that leaves moves only its own part.
 
 #include "membership/HomeTable.h"
 
@@ -32,7 +32,7 @@
   return entries;
 }
 
-/// The VMs that take themselves for a home of \p instance.
+/// The VMs that are a home of \p instance by their own calculation.
 std::vector<std::string> homesOf(const std::vector<EntryVm> &entries,
                                  const std::string &instance,
                                  const std::string &hall, int usable) {
@@ -84,7 +84,7 @@
     const auto &lenders =
         table.lenders(InstanceId("i-1"), HallId("hall1"), table.share(49));
     CHECK(std::find(lenders.begin(), lenders.end(), it.Ip) == lenders.end());
-    // Six homes and seven guests, but for the VM itself.
+    // Six homes and seven non-homes, without the VM itself.
     CHECK(lenders.size() >= 12);
     CHECK(std::find(homes.begin(), homes.end(), lenders.front()) !=
           homes.end());
@@ -180,7 +180,7 @@
   CHECK(table.evenShare(instance, hall, 40) == 10);
   table.setEntries(vms(20, 1));
   CHECK(table.evenShare(instance, hall, 40) == 2);
-  // What is left over goes by the place among the VMs of now.
+  // The remainder is assigned by the rank in the current list of VMs.
   int sum = 0;
   for (const auto &it : few) {
     HomeTable own(it.Ip);
@@ -214,7 +214,7 @@
     CHECK(guests.begin()->size() == 7);
     ++firstFor[homes.begin()->front()];
   }
-  // Each of the four is the first for a good part of the organisations.
+  // Each of the four is the first choice of many organisations.
   CHECK(firstFor.size() == 4);
   for (const auto &[ip, n] : firstFor)
     CHECK(n >= 10);
--- a/src/membership/tests/InstanceDirectoryTest.cpp
+++ b/src/membership/tests/InstanceDirectoryTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Heartbeats that come late: from an instance that has crashed, at an
-/// address where a new one has registered, in either order.
+/// \file Late heartbeats of a crashed instance, at whose address a new one has
+/// registered, in either order of arrival.
 
 #include "membership/InstanceDirectory.h"
 
@@ -32,7 +32,7 @@
   InstanceDirectory directory;
   directory.merge(Start, recordOf("old", 7, InstanceRole::Primary));
   directory.merge(Start, recordOf("new", 1, InstanceRole::Replica));
-  // Held back by a cut, and sent after the last one that was heard.
+  // Delayed by a partition, and sent after the last one that was received.
   directory.merge(Start, recordOf("old", 8, InstanceRole::Primary));
   const auto *next = directory.find(InstanceId("new"));
   REQUIRE(next);
@@ -59,7 +59,7 @@
   directory.merge(Start, recordOf("old", 7, InstanceRole::Primary));
   directory.merge(Start + milliseconds(15000),
                   recordOf("old", 8, InstanceRole::Primary));
-  // An older word is no sign of life.
+  // A duplicate heartbeat doesn't count as recent.
   directory.merge(Start + milliseconds(30000),
                   recordOf("old", 8, InstanceRole::Primary));
   CHECK(directory.expire(Start + milliseconds(36000), Silence).size() == 1);
--- a/src/membership/types/EntryVm.h
+++ b/src/membership/types/EntryVm.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file An entry VM as the others know it.
+/// \file An entry VM as listed by the control VMs.
 
 #ifndef STEPLEDGE_MEMBERSHIP_TYPES_ENTRYVM_H
 #define STEPLEDGE_MEMBERSHIP_TYPES_ENTRYVM_H
--- a/src/membership/types/InstanceRecord.h
+++ b/src/membership/types/InstanceRecord.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What is known of one database instance from its own heartbeats.
+/// \file The state of one database instance as reported by its own heartbeats.
 
 #ifndef STEPLEDGE_MEMBERSHIP_TYPES_INSTANCERECORD_H
 #define STEPLEDGE_MEMBERSHIP_TYPES_INSTANCERECORD_H
@@ -16,30 +16,30 @@
 
 enum class InstanceRole { Primary, Replica };
 
-/// The order is that of an instance's life: a later state is never undone.
+/// In lifecycle order: a later state is never reverted.
 enum class InstanceState { Ready, Leaving, Gone };
 
 struct InstanceRecord {
   InstanceId Id;
   std::string Service;
-  /// "ip:port"; may be taken over by another instance later.
+  /// "ip:port"; another instance may reuse it later.
   std::string Address;
   HallId Hall;
   InstanceRole Role = InstanceRole::Replica;
   InstanceState State = InstanceState::Ready;
-  /// Statements that it runs at once.
+  /// The number of statements that the instance runs at once.
   int Slots = 0;
-  /// When this life of the instance began, in Unix ms by its own clock; 0 where
-  /// it doesn't say. An instance that starts again under its id holds nothing
-  /// of before, and counts anew.
+  /// The start time of this incarnation in Unix ms by the instance's own clock;
+  /// 0 if the instance doesn't report it. An instance that restarts under its
+  /// id has lost its data and restarts its sequence.
   std::uint64_t BornMs = 0;
-  /// Counts the heartbeats of this life; a lower one is a late one.
+  /// The number of the heartbeat within this incarnation; a lower one is late.
   std::uint64_t Sequence = 0;
-  /// An earlier life under this id was known: it has lost its data, so its own
-  /// word that it is the primary isn't enough.
+  /// An earlier incarnation under this id was known: the instance has lost its
+  /// data, so its own report of being the primary isn't sufficient.
   bool HasRestarted = false;
 
-  /// The word of a later life goes first, then the later word.
+  /// A later incarnation takes precedence, then a later heartbeat.
   bool isNewerThan(const InstanceRecord &other) const {
     return std::pair(BornMs, Sequence) >
            std::pair(other.BornMs, other.Sequence);
