--- a/src/control/ClusterState.cpp
+++ b/src/control/ClusterState.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Marks of the instances that left longest ago are dropped beyond these: a
-/// heartbeat is never late by as many replacements.
+/// Beyond this number, the oldest marks are dropped: no heartbeat is so late
+/// that this many instances were replaced in between.
 constexpr std::size_t MostMarks = 2000;
 
 } // namespace
@@ -37,14 +37,16 @@
     break;
   case wire::Command::kTakeFence:
   case wire::Command::BODY_NOT_SET:
-    // NOTE: a fence is its entry's index; there is nothing to keep.
+    // NOTE: the fencing token is the entry's index, so there is nothing to
+    // store.
     break;
   }
 }
 
 void ClusterState::keep(const wire::KeepInstance &instance) {
   const auto held = Instances.find(instance.instance());
-  // NOTE: whoever proposed it hadn't heard of the later life yet.
+  // NOTE: the proposer had not yet received a heartbeat of the later
+  // incarnation.
   if (held != Instances.end() && held->second.born_ms() > instance.born_ms())
     return;
   const bool isGone =
--- a/src/control/ClusterState.h
+++ b/src/control/ClusterState.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file The state that the control group's log builds: the configuration, the
-/// instances that leave, and who was made primary.
+/// lifecycle of leaving instances, and the promotions.
 
 #ifndef STEPLEDGE_CONTROL_CLUSTERSTATE_H
 #define STEPLEDGE_CONTROL_CLUSTERSTATE_H
@@ -18,17 +18,17 @@
 
 class ClusterState {
 public:
-  /// Applies the log's entry at \p index; all members get the same result.
+  /// Applies the log entry at \p index; all members get the same state.
   void apply(std::uint64_t index, const wire::Command &command);
   std::string serialize() const;
-  /// False where \p bytes are no state; then nothing changes.
+  /// Returns false and changes nothing if \p bytes can't be parsed.
   bool restore(const std::string &bytes);
 
   std::uint64_t appliedIndex() const { return AppliedIndex; }
   std::uint64_t configurationVersion() const { return Newest.version(); }
   const std::string &document() const { return Newest.document(); }
-  /// Whether the life of the instance that began at \p bornMs leaves or has
-  /// left.
+  /// Whether the incarnation of the instance that started at \p bornMs is
+  /// leaving or has left.
   wire::Lifecycle lifecycleOf(const std::string &instance,
                               std::uint64_t bornMs) const;
   /// The newest promotion of each service.
@@ -36,7 +36,7 @@
     return Promotions;
   }
 
-  /// The kept records of instances, as they came.
+  /// The instance records kept in the log, as they were proposed.
   const std::map<std::string, wire::KeepInstance> &instances() const {
     return Instances;
   }
@@ -47,7 +47,7 @@
 
   std::uint64_t AppliedIndex = 0;
   wire::PutConfiguration Newest;
-  /// By instance, the mark of its latest life that has one.
+  /// By instance, the mark of its latest incarnation that has one.
   std::map<std::string, wire::MarkInstance> Marks;
   std::deque<std::string> MarkOrder;
   std::map<std::string, wire::RecordPromotion> Promotions;
--- a/src/control/ControlModule.cpp
+++ b/src/control/ControlModule.cpp
@@ -19,13 +19,13 @@
   return (std::uint64_t{random()} << 32U) | random();
 }
 
-/// The number of a member of the first control group, which all members of
-/// that group must find alike.
+/// The number of a member of the first control group; all members of that group
+/// must compute the same one.
 std::uint64_t firstNumber(const std::string &ip) {
   return XXH64(ip.data(), ip.size(), 0) | 1U;
 }
 
-/// The first group's state: its voters, and an empty log.
+/// The initial state of the first group: its voters and an empty log.
 consensus::DurableState firstState(const std::set<std::string> &ips) {
   consensus::DurableState state;
   for (const auto &it : ips) {
@@ -83,7 +83,7 @@
     self.set_number(firstNumber(Options.Node.Ip));
     state = firstState(seeds);
   } else {
-    // NOTE: a wiped disk never votes under its old number.
+    // NOTE: a member with a wiped disk must never vote under its old number.
     self.set_number(drawNumber() | 2U);
   }
   consensus::ConsensusOptions options;
@@ -94,7 +94,7 @@
                             " new=", isNew, " first=", isFirst,
                             " commit=", Consensus->commitIndex()));
   startDisk();
-  // NOTE: a new log's beginning goes to the disk before all else.
+  // NOTE: the initial records of a new log go to disk before any others.
   if (isNew)
     Disk->rewrite(0, Consensus->allRecords());
   return absl::OkStatus();
--- a/src/control/ControlModule.h
+++ b/src/control/ControlModule.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Wires a control VM: its log on disk, the consensus, the connections to
-/// other VMs and the decisions.
+/// \file Assembles a control VM: its log on disk, the consensus, the
+/// connections to other VMs and the control node.
 
 #ifndef STEPLEDGE_CONTROL_CONTROLMODULE_H
 #define STEPLEDGE_CONTROL_CONTROLMODULE_H
@@ -25,9 +25,10 @@
 struct ControlModuleOptions {
   ControlOptions Node;
   std::string DataFolder;
-  /// Where the other VMs connect.
-  /// Where this process listens; others may know it by another address.
+  /// The address that this process listens on; other VMs may reach it by
+  /// another one.
   std::string ListenIp;
+  /// The port that the other VMs connect to.
   std::uint16_t PeerPort = 0;
   /// The whole system starts for the first time, on empty disks.
   bool IsFirstStart = false;
@@ -45,10 +46,10 @@
 
   /// Opens the log and begins to serve other VMs.
   absl::Status start();
-  /// Call it some fifty times a second.
+  /// To be called about 50 times a second.
   void tick();
   ControlNode &node() { return *Node; }
-  /// What this VM has sent to others.
+  /// The traffic that this VM has sent to others.
   const peer::TrafficCount &traffic() const { return Hub->traffic(); }
   const consensus::ConsensusNode &consensus() const { return *Consensus; }
 
--- a/src/control/ControlNode.cpp
+++ b/src/control/ControlNode.cpp
@@ -100,7 +100,7 @@
 }
 
 void ControlNode::runEffects(TimePoint now) {
-  // NOTE: what is finished here may start the next call.
+  // NOTE: a call that finishes here may start the next one.
   if (std::exchange(IsRunning, true))
     return;
   while (true) {
@@ -151,8 +151,8 @@
   }
   IsRunning = false;
   reviewFreshness(now);
-  // NOTE: after a start entry VMs serve nobody before they hear of this, and
-  // of the instances that the log kept.
+  // NOTE: after a start, entry VMs serve no client before they receive this
+  // notice and the instances that the log kept.
   if (IsNoticeDue && IsFresh) {
     IsNoticeDue = false;
     tellEntries(notice(true));
@@ -161,7 +161,7 @@
 }
 
 void ControlNode::reviewFreshness(TimePoint now) {
-  // NOTE: a log that is being replayed shows old states on the way.
+  // NOTE: during the replay of the log the state is an old one.
   const bool isFresh = Node.isFresh(now);
   IsNoticeDue |= isFresh && !IsFresh;
   IsFresh = isFresh;
@@ -236,7 +236,7 @@
   Proposed.remove(command.proposer(), command.number());
   if (command.proposer() == Node.self().number())
     return finishCall(command.number(), true);
-  // Whoever passed the call on to this leader waits for its end.
+  // The member that forwarded the call to this leader waits for its end.
   if (!Node.isLeader() || command.proposer() == 0)
     return;
   for (const auto &it : Node.membership().voters())
@@ -298,8 +298,8 @@
   KnownControls.clear();
   for (const auto &it : Node.membership().voters())
     KnownControls.insert(it.ip());
-  // NOTE: a process that isn't a voter can't tell whether it knows them all,
-  // nor can one whose log is too old.
+  // NOTE: a process that isn't a voter, or whose log is too old, may not have
+  // the addresses of all control VMs.
   if (Node.needsToJoin(Now))
     KnownControls.insert(Options.SeedIps.begin(), Options.SeedIps.end());
   KnownControls.erase(Options.Ip);
@@ -311,14 +311,16 @@
   const bool isEntry = !hello.ip().empty() && hello.kind() == peer::wire::ENTRY;
   if (isEntry)
     Entries.join(ip, hello.hall());
-  // NOTE: the other side's connection may have been there all the time, and a
-  // copy of what is on its way there would be sent for nothing.
+  // NOTE: only after a failed send: otherwise the other side's connection may
+  // have existed all the time, and a copy of what is in flight there would be
+  // sent for nothing.
   if (Unreached.erase(ip) > 0) {
     Node.connectionLost(Now, ip);
     runEffects(Now);
   }
   if (!isEntry) {
-    // NOTE: before what may be long, since elections wait for this.
+    // NOTE: before the instances, which may be a long message: elections wait
+    // for this.
     Node.connectionMade(Now, ip);
     runEffects(Now);
     Peers.send(ip, allInstances());
@@ -335,8 +337,9 @@
   Entries.leave(ip);
   Configurations.forget(ip);
   LastSights.erase(ip);
-  // NOTE: without it a follower had no document of 260 KB 50 ms after its
-  // connection was back; the repeat's time is 0.4 s and 2.1 s for its bytes.
+  // NOTE: without this, a follower still had no document of 260 KB 50 ms after
+  // its connection was back; the resend timeout is 0.4 s, plus 2.1 s for its
+  // bytes.
   Node.connectionLost(Now, ip);
   for (auto &[number, it] : Calls)
     if (it.SentToIp == ip)
--- a/src/control/ControlNode.h
+++ b/src/control/ControlNode.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A control VM: the replicated state, the instances' heartbeats, what
-/// entry VMs are told, and the replacement of primaries.
+/// \file A control VM: the replicated state, the instances' heartbeats, the
+/// notices to entry VMs, and the replacement of primaries.
 
 #ifndef STEPLEDGE_CONTROL_CONTROLNODE_H
 #define STEPLEDGE_CONTROL_CONTROLNODE_H
@@ -31,7 +31,8 @@
 
 namespace stepledge::control {
 
-/// Where the records of the log are made durable; it answers by persisted().
+/// Makes the records of the log durable, and reports it by
+/// ControlNode::persisted().
 class ILogWriter {
 public:
   virtual ~ILogWriter() = default;
@@ -51,43 +52,49 @@
   std::string NodeName;
   std::string Ip;
   std::string Hall;
-  /// Where the control VMs may be found at first.
+  /// The addresses of control VMs to contact before the membership is known.
   std::set<std::string> SeedIps;
-  /// A call gives up after this time, before its caller turns elsewhere.
+  /// A call fails after this time, before its caller retries at another VM.
   Duration CallLimit = milliseconds(850);
-  /// How often a call is tried again while no leader is known.
+  /// The retry interval of a call while no leader is known.
   Duration CallRetry = milliseconds(60);
-  /// And while the leader doesn't answer, besides what the call's bytes take at
-  /// the rate below: half of that of the narrowest links between VMs. Without
-  /// that a document of 260 KB was sent three times while its commit took 0.7
-  /// s.
+  /// The retry interval while the leader doesn't answer, in addition to the
+  /// time that the call's bytes take at the rate below, which is half of that
+  /// of the narrowest links between VMs. Without that addition a document of
+  /// 260 KB was sent three times while its commit took 0.7 s.
   Duration UnansweredCallRetry = milliseconds(300);
   std::uint64_t LeastBytesPerSecond = 125'000;
-  /// Heartbeats to entry VMs.
+  /// The interval of heartbeats to entry VMs.
   Duration NoticeInterval = milliseconds(250);
-  /// The longer form of these, which repeats what was told at its change.
+  /// The interval of full heartbeats, which repeat what was already sent when
+  /// it changed.
   Duration FullNoticeInterval = milliseconds(2000);
-  /// An instance silent for this long is dropped: many heartbeats.
+  /// An instance without a heartbeat for this time, which is many heartbeat
+  /// intervals, is dropped.
   Duration InstanceSilence = milliseconds(20000);
-  /// How often other control VMs hear of an unchanged instance.
+  /// How often an unchanged instance is reported to the other control VMs.
   Duration AliveInterval = milliseconds(4000);
-  /// How often the leader asks the primaries whether they answer.
+  /// How often the leader pings the primaries.
   Duration PingInterval = milliseconds(250);
-  /// And the replicas, whose connections are only kept warm.
+  /// How often the leader pings the replicas, only to keep the connections
+  /// open.
   Duration IdlePingInterval = milliseconds(2000);
-  /// The most questions a second to instances that seem well: 50 primaries are
-  /// asked four times a second each. With more of them each is asked less
-  /// often, and VMs' reports find the silent ones, which are asked at once.
+  /// The maximum rate of pings to instances that seem healthy: 50 primaries are
+  /// pinged four times a second each. With more of them each is pinged less
+  /// often, and the silent ones are found by reports of other VMs and then
+  /// pinged at once.
   double PingsPerSecond = 200;
-  /// With more instances no connections to replicas are kept: a leader would
-  /// need one to each of thousands, and a new leader opens them all.
+  /// With more instances, no connections to replicas are kept open: the leader
+  /// would need one to each of thousands, and a new leader would have to open
+  /// them all.
   std::size_t MostKeptWarm = 300;
-  /// Reads the operators' document; its service settings are needed here.
+  /// Decodes the operators' document; its service settings are needed here.
   std::function<absl::StatusOr<Configuration>(const std::string &)> Decode;
-  /// Drawn anew at each start: the calls of an earlier life of this process
-  /// stand in the log, and must not be taken for those of this one.
+  /// A random number drawn at each start: the log has calls of an earlier
+  /// incarnation of this process, which must not be taken for those of this
+  /// one.
   std::uint64_t FirstCall = 0;
-  /// How often a process that is no voter asks to be one.
+  /// How often a process that is not a voter asks to become one.
   Duration JoinInterval = milliseconds(500);
 };
 
@@ -95,7 +102,7 @@
 
 class ControlNode : public peer::IPeerListener {
 public:
-  /// Whether the call took effect; false means that nobody knows.
+  /// Whether the call took effect; false means that the outcome is unknown.
   using OnDone = std::function<void(bool)>;
 
   ControlNode(ControlOptions options, consensus::ConsensusNode &node,
@@ -103,31 +110,33 @@
               IInstanceProbe &probe, IControlLog &log);
   ~ControlNode() override;
 
-  /// Keeps \p document as the configuration, if its version is the highest.
+  /// Makes \p document the configuration if its version is the highest.
   void putConfiguration(TimePoint now, std::uint64_t version,
                         std::string document, OnDone onDone);
-  /// After true, document() is the newest acknowledged one or newer.
+  /// If the call succeeds, document() is the latest acknowledged document or a
+  /// newer one.
   void confirmNewest(TimePoint now, OnDone onDone);
   const std::string &document() const { return State.document(); }
   std::uint64_t configurationVersion() const {
     return State.configurationVersion();
   }
-  /// False for an instance that isn't known yet, of a service that the
-  /// configuration doesn't name; before the first configuration none does.
+  /// False for an instance that isn't known yet and whose service the
+  /// configuration doesn't name; always true before the first configuration.
   bool servesInstance(const membership::InstanceRecord &record) const;
   void instanceSaid(TimePoint now, membership::InstanceRecord record,
                     OnDone onDone);
-  /// The life that began at \p bornMs, or without it the one that is known, has
-  /// left.
+  /// Records that the incarnation that started at \p bornMs, or without it the
+  /// known one, has left.
   void instanceLeft(TimePoint now, const InstanceId &id,
                     std::optional<std::uint64_t> bornMs, OnDone onDone);
-  /// When the known life of the instance began, in Unix ms; 0 where it has told
-  /// nothing.
+  /// The start time of the known incarnation of the instance in Unix ms; 0 if
+  /// it hasn't reported one.
   std::uint64_t bornOf(const InstanceId &id) const;
 
   void tick(TimePoint now);
   void persisted(TimePoint now, std::uint64_t ticket);
-  /// The present time for what peers say; set before each event.
+  /// Sets the current time for messages of peers; to be called before each
+  /// event.
   void setTime(TimePoint now) { Now = now; }
 
   void peerConnected(const std::string &ip,
@@ -144,14 +153,15 @@
     bool IsRead = false;
     TimePoint Deadline{};
     TimePoint RetryAt{};
-    /// The leader that it was passed on to, and its term; empty if to none.
+    /// The leader that the call was forwarded to, and its term; empty if to
+    /// none.
     std::string SentToIp;
     std::uint64_t SentInTerm = 0;
-    /// For a read: the state that must be reached.
+    /// For a read: the log index that must be applied first.
     std::optional<std::uint64_t> Index;
     OnDone Done;
   };
-  /// A call that another control VM has passed on to this leader.
+  /// A call that another control VM has forwarded to this leader.
   struct RemoteCall {
     std::string Ip;
     std::uint64_t Number = 0;
@@ -160,11 +170,13 @@
   std::uint64_t startCall(TimePoint now, wire::Command command, bool isRead,
                           OnDone onDone);
   void tryCall(TimePoint now, std::uint64_t number, PendingCall &call);
-  /// Its time has come, or another leads than the one that it was passed on to.
+  /// Whether the call's retry time has come, or another VM leads than the one
+  /// that it was forwarded to.
   bool isTryDue(TimePoint now, const PendingCall &call) const;
-  /// Puts the call into this leader's log, unless it waits there already.
+  /// Appends the call to this leader's log unless it is in there uncommitted.
   void propose(TimePoint now, wire::Command command);
-  /// Takes the document out of a configuration that changes nothing.
+  /// Removes the document from a command that wouldn't change the
+  /// configuration.
   void dropHeldConfiguration(wire::Command &command) const;
   void finishCall(std::uint64_t number, bool done);
   void finishReads();
@@ -175,35 +187,36 @@
   void takeConfiguration();
   void sendConfiguration(const std::string &ip,
                          const peer::wire::ConfigurationRequest &request);
-  /// The replicas that must hold a commit of \p service before it is
+  /// The number of replicas that must hold a commit of \p service before it is
   /// acknowledged.
   int syncReplicasOf(const std::string &service) const;
   void runEffects(TimePoint now);
-  /// Notes whether the applied state is what a majority stands behind; if it
-  /// has just become so, a notice is due.
+  /// Updates whether a majority has confirmed the applied state; if it has just
+  /// been confirmed, a notice is due.
   void reviewFreshness(TimePoint now);
   void apply(TimePoint now, const consensus::wire::Entry &entry);
   void learn(TimePoint now, const membership::InstanceRecord &record,
              bool isFromPeer);
-  /// Has the log keep what is known of the instance, or forget it.
+  /// Proposes a log entry that keeps the known record of the instance, or
+  /// removes it.
   void keepInstance(TimePoint now, const InstanceId &id, std::uint64_t bornMs);
-  /// The instance has long been silent.
+  /// Handles an instance whose heartbeats have stopped.
   void dropInstance(TimePoint now, const membership::InstanceRecord &record);
-  /// The same as learn() for what another VM or the log says.
+  /// The same as learn() for a record from another VM or from the log.
   void learnFromWire(TimePoint now, const peer::wire::Instance &instance);
-  /// The instance has started again under its id.
+  /// Discards the state of an earlier incarnation of a restarted instance.
   void forgetEarlierLife(TimePoint now,
                          const membership::InstanceRecord &record);
-  /// Takes in the instances that only the log knows, as after a restart.
+  /// Adds the instances that are only in the log, as after a restart.
   void learnKept(TimePoint now);
   void tellEntries(const peer::wire::Message &message);
-  /// Tells the entry VMs that listen of the instances that have changed since
-  /// the last tick. Told one by one, 3,600 instances before 290 entry VMs were
-  /// a million messages of a control VM in the ten seconds of a start
-  /// (simulated day).
+  /// Sends the instances that have changed since the last tick to the
+  /// subscribed entry VMs, all in one message. Sent one by one, 3,600 instances
+  /// and 290 entry VMs cost a control VM a million messages in the ten seconds
+  /// of a start.
   void tellUntold();
   void tellControls(const peer::wire::Message &message);
-  /// A full one also names the control VMs and the promotions.
+  /// A full notice also lists the control VMs and the promotions.
   peer::wire::Message notice(bool isFull) const;
   peer::wire::Message allInstances() const;
   void updatePeers();
@@ -211,10 +224,10 @@
                      const peer::wire::PrimarySights &sights);
   void onSights(const std::string &ip, const peer::wire::PrimarySights &sights);
   void pingInstances(TimePoint now);
-  /// The instances to ask now: all that are suspect, and of the others those
-  /// that have waited longest.
+  /// The instances to ping now: all that are suspected, and of the others those
+  /// whose last ping is the oldest.
   std::vector<InstanceId> findPingsDue(TimePoint now);
-  /// Tells the watch what the pings have shown.
+  /// Reports the results of the pings to the failure detector.
   void reportPings(TimePoint now);
 
   ControlOptions Options;
@@ -224,17 +237,17 @@
   IInstanceProbe &Probe;
   IControlLog &Log;
   ClusterState State;
-  /// The newest configuration that could be read, for entry VMs.
+  /// The newest configuration that could be decoded, for entry VMs.
   distribution::ConfigurationSender Configurations;
   membership::InstanceDirectory Directory;
   PrimaryWatch Watch{WatchOptions{}};
   std::unique_ptr<Replacement> Replacer;
 
   EntryRoster Entries;
-  /// What each entry VM last said of the primaries.
+  /// The last observations of primaries that each entry VM reported.
   std::map<std::string, peer::wire::PrimarySights> LastSights;
   std::set<std::string> KnownControls;
-  /// Control VMs that a message for found no connection.
+  /// Control VMs that a message couldn't be sent to for lack of a connection.
   std::set<std::string> Unreached;
   std::map<std::uint64_t, PendingCall> Calls;
   std::map<std::uint64_t, RemoteCall> RemoteReads;
@@ -242,7 +255,7 @@
   std::uint64_t LastCall = 0;
   LineBudget UnreadableLines;
   std::map<InstanceId, TimePoint> ToldAlive;
-  /// Instances that have changed since entry VMs were told last.
+  /// Instances that have changed since they were last sent to entry VMs.
   std::set<InstanceId> Untold;
   std::map<InstanceId, TimePoint> PingSentAt;
   std::map<InstanceId, TimePoint> PingMissedSince;
@@ -254,7 +267,7 @@
   TimePoint Now{};
   bool IsNoticeDue = false;
   bool IsFresh = false;
-  /// It was fresh at least once since the start.
+  /// The state was fresh at least once since the start.
   bool HasBeenFresh = false;
   bool WasLeader = false;
   bool IsRunning = false;
--- a/src/control/EntryRoster.cpp
+++ b/src/control/EntryRoster.cpp
@@ -17,7 +17,7 @@
 
 void EntryRoster::join(const std::string &ip, const std::string &hall) {
   Halls[ip] = hall;
-  // NOTE: it says anew on each connection what it wants.
+  // NOTE: an entry VM subscribes again on each connection.
   InstanceListeners.erase(ip);
 }
 
--- a/src/control/IPromoter.h
+++ b/src/control/IPromoter.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Naming a new primary, and asking instances how far they are, as the
-/// control VM's decisions see it.
+/// \file The interfaces by which a control VM promotes an instance and queries
+/// the state of instances.
 
 #ifndef STEPLEDGE_CONTROL_IPROMOTER_H
 #define STEPLEDGE_CONTROL_IPROMOTER_H
@@ -32,7 +32,7 @@
   Accepted,
   /// A higher fence was seen, or the instance isn't running.
   Rejected,
-  /// It may still be carried out later.
+  /// The order may still be carried out later.
   NoAnswer,
 };
 
@@ -45,29 +45,29 @@
 
 struct InstanceStatus {
   membership::InstanceRole Role = membership::InstanceRole::Replica;
-  /// The end of what it has received.
+  /// The end of the log that it has received.
   Mark Received;
-  /// The newest term that it knows of.
+  /// The newest term that it has seen.
   Term Known{};
 };
 
 class IInstanceProbe {
 public:
   virtual ~IInstanceProbe() = default;
-  /// Nothing comes back within the limit: the callback gets no value.
+  /// The callback gets no value if no answer arrives within the limit.
   virtual void
   askStatus(const membership::InstanceRecord &instance,
             std::function<void(std::optional<InstanceStatus>)> onDone) = 0;
-  /// Has a replica receive nothing more, under a term above all known ones,
-  /// until it is promoted or resumed; tells where it stopped.
+  /// Makes a replica stop receiving, under a term above all known ones, until
+  /// it is promoted or resumed; reports where it stopped.
   virtual void
   pause(const membership::InstanceRecord &instance, Term term,
         std::function<void(std::optional<InstanceStatus>)> onDone) = 0;
   virtual void resume(const membership::InstanceRecord &instance) = 0;
-  /// Whether it answers at all; takes none of its slots.
+  /// Checks whether the instance answers at all; takes none of its slots.
   virtual void ping(const membership::InstanceRecord &instance,
                     std::function<void(bool)> onDone) = 0;
-  /// The instance has started again: what its earlier life was asked has no
+  /// The instance has restarted: requests to its earlier incarnation get no
   /// answer, and its connections are closed.
   virtual void forget(const InstanceId &instance) = 0;
   /// Connections to instances other than these may be closed.
--- a/src/control/PrimaryWatch.h
+++ b/src/control/PrimaryWatch.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Whether a primary is lost, from what several VMs see of it.
+/// \file Detects the failure of a primary from the reports of several VMs.
 
 #ifndef STEPLEDGE_CONTROL_PRIMARYWATCH_H
 #define STEPLEDGE_CONTROL_PRIMARYWATCH_H
@@ -15,21 +15,21 @@
 namespace stepledge::control {
 
 struct WatchOptions {
-  /// Silence seen by one VM counts from here on: above the answer time of an
-  /// instance whose queue is full.
+  /// Silence that a VM reports counts from this duration on: above the answer
+  /// time of an instance whose queue is full.
   Duration SilenceLimit = milliseconds(600);
-  /// A VM's report is used for this long.
+  /// How long a VM's report is valid.
   Duration ReportLifetime = milliseconds(1500);
-  /// VMs that reported on the service within this time count as known; those of
-  /// them that are silent now may be cut off together with a primary that they
-  /// still reach.
+  /// VMs that reported on the service within this time count as its observers;
+  /// those of them that no longer report may be partitioned from this VM
+  /// together with a primary that they still reach.
   Duration KnownLifetime = milliseconds(20000);
-  /// The share of the known VMs that must miss the primary.
+  /// The primary is lost if more than this share of the observers miss it.
   double LostShare = 0.5;
-  /// With this much silence all that still report are enough: a cut that lasts
-  /// so long is no passing one.
+  /// After this much silence, the observers that still report are enough if all
+  /// of them miss the primary: a partition that lasts so long is not transient.
   Duration LongSilence = milliseconds(8000);
-  /// No second replacement of a service for this time after one.
+  /// A service's primary isn't replaced again within this time.
   Duration RestAfter = milliseconds(1500);
 };
 
@@ -37,19 +37,20 @@
 public:
   explicit PrimaryWatch(WatchOptions options) : Options(options) {}
 
-  /// A VM says how long questions to \p primary have stayed unanswered.
+  /// Records for how long the requests of \p observer to \p primary have been
+  /// unanswered.
   void report(TimePoint now, const std::string &observer,
               const std::string &service, const InstanceId &primary,
               Duration silentFor);
-  /// The VM no longer watches the service.
+  /// The observer no longer monitors the service.
   void stopped(const std::string &observer, const std::string &service);
   void noteReplaced(TimePoint now, const std::string &service);
-  /// What was reported on \p primary was of a life that is over.
+  /// Drops the reports on an earlier incarnation of \p primary.
   void forget(const std::string &service, const InstanceId &primary);
-  /// Whether a VM that reports on \p primary misses it.
+  /// Whether any VM reports that \p primary is silent.
   bool isMissed(TimePoint now, const std::string &service,
                 const InstanceId &primary) const;
-  /// Whether enough of the VMs that report on \p primary miss it.
+  /// Whether enough of the VMs that report on \p primary find it silent.
   bool isLost(TimePoint now, const std::string &service,
               const InstanceId &primary) const;
   void clear() { Services.clear(); }
--- a/src/control/internal/Calls.cpp
+++ b/src/control/internal/Calls.cpp
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of ControlNode that brings calls to the leader and back.
+/// \file The part of ControlNode that forwards calls to the leader and handles
+/// the replies.
 
 #include "control/ControlNode.h"
 
@@ -33,7 +34,7 @@
       Node.requestRead(now, number);
     else
       propose(now, call.Command);
-    // NOTE: a proposal is not repeated while this member leads.
+    // NOTE: a proposal is not retried while this member leads.
     call.RetryAt = call.Deadline;
     return;
   }
@@ -62,16 +63,16 @@
 bool ControlNode::isTryDue(TimePoint now, const PendingCall &call) const {
   if (call.Index)
     return false;
-  // NOTE: what a former leader had in its log may be gone from it.
+  // NOTE: entries that a former leader appended may be gone from the log.
   const bool leadsAnother =
       !call.SentToIp.empty() && call.SentInTerm != Node.term() && Node.leader();
   return now >= call.RetryAt || leadsAnother;
 }
 
 void ControlNode::propose(TimePoint now, wire::Command command) {
-  // NOTE: other VMs make a call again each 300 ms until it is answered. With a
-  // document of 260 KB and disks that stall for 0.7 s, three copies were synced
-  // and sent to all followers.
+  // NOTE: other VMs retry a call every 300 ms until it is answered. With a
+  // document of 260 KB and disks that stalled for 0.7 s, three copies were
+  // synced and sent to all followers.
   if (!Proposed.add(Node.term(), command.proposer(), command.number()))
     return;
   dropHeldConfiguration(command);
@@ -79,11 +80,11 @@
 }
 
 void ControlNode::dropHeldConfiguration(wire::Command &command) const {
-  // NOTE: what is applied is committed, so every leader's log holds it below
-  // the entry that this becomes, and the document would take no effect there.
-  // The entry itself is needed: its commit shows that the leader still leads.
-  // Operators give a document to each VM until one acknowledges it; three such
-  // repeats of 260 KB each stood in the log in full.
+  // NOTE: an applied document is committed, so every leader's log has it below
+  // the entry that this becomes, where it would take no effect. The entry
+  // itself is needed: its commit shows that the leader still leads. Operators
+  // send a document to each VM until one acknowledges it; three such repeats of
+  // 260 KB each were in the log in full.
   const bool isHeld =
       command.has_put_configuration() &&
       command.put_configuration().version() <= State.configurationVersion();
@@ -113,7 +114,8 @@
   if (!Node.canServe())
     return reply({ip, call.number()}, false, 0);
   if (call.is_read()) {
-    // NOTE: numbers of remote reads must not meet those of the own calls.
+    // NOTE: the numbers of remote reads must not collide with those of own
+    // calls.
     const std::uint64_t number = ++LastCall;
     RemoteReads[number] = {ip, call.number()};
     Node.requestRead(Now, number);
--- a/src/control/internal/CallsInLog.h
+++ b/src/control/internal/CallsInLog.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The calls that a leader has put into its log and that aren't committed
-/// yet.
+/// \file The calls that a leader has appended to its log and that aren't
+/// committed yet.
 
 #ifndef STEPLEDGE_CONTROL_INTERNAL_CALLSINLOG_H
 #define STEPLEDGE_CONTROL_INTERNAL_CALLSINLOG_H
@@ -15,14 +15,15 @@
 
 class CallsInLog {
 public:
-  /// Notes the call, and says whether it is a new one in \p term, in which the
-  /// caller leads. What an earlier lead put into the log may be gone from it.
+  /// Records the call, and returns whether it is new in \p term, in which the
+  /// caller leads. Calls of an earlier term are dropped, since the log may have
+  /// lost them.
   bool add(std::uint64_t term, std::uint64_t proposer, std::uint64_t number) {
     if (std::exchange(Term, term) != term)
       Calls.clear();
     return Calls.emplace(proposer, number).second;
   }
-  /// The call is committed; one that comes again is a new one.
+  /// The call is committed; if it arrives again, it counts as new.
   void remove(std::uint64_t proposer, std::uint64_t number) {
     Calls.erase({proposer, number});
   }
--- a/src/control/internal/Instances.cpp
+++ b/src/control/internal/Instances.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of ControlNode that keeps what is known of the instances:
-/// their heartbeats, their lives, and whether they answer.
+/// \file The part of ControlNode that tracks the instances: their heartbeats,
+/// their incarnations, and whether they answer pings.
 
 #include "control/ControlNode.h"
 
@@ -23,7 +23,7 @@
 
 void ControlNode::instanceSaid(TimePoint now, membership::InstanceRecord record,
                                OnDone onDone) {
-  // NOTE: a word of an earlier life that was held back on its way.
+  // NOTE: a delayed heartbeat of an earlier incarnation.
   if (record.BornMs < bornOf(record.Id))
     return onDone(true);
   const auto lifecycle = State.lifecycleOf(record.Id.str(), record.BornMs);
@@ -121,7 +121,7 @@
   keep.set_born_ms(bornMs);
   if (const auto *known = Directory.find(id))
     keep.set_record(peer::encode(*known).SerializeAsString());
-  // NOTE: nobody waits for it: the next heartbeats say the same again.
+  // NOTE: no caller waits for it: the next heartbeats report the same again.
   startCall(now, std::move(command), false, [](bool) {});
 }
 
@@ -140,7 +140,7 @@
     peer::wire::Instance instance;
     if (known && known->BornMs >= it.born_ms())
       continue;
-    // NOTE: the default instance is none that can be read, and is told so.
+    // NOTE: if parsing fails, the default instance is logged as unreadable.
     (void)instance.ParseFromString(it.record());
     learnFromWire(now, instance);
   }
@@ -162,7 +162,7 @@
       return suspects.push_back(it.Id);
     const Duration interval =
         isPrimary ? Options.PingInterval : Options.IdlePingInterval;
-    // NOTE: half a tick early rather than a whole one late.
+    // NOTE: half an interval early rather than a whole one late.
     if (now - PingedAt[it.Id] >= interval - Options.PingInterval / 2)
       due.emplace_back(PingedAt[it.Id], it.Id);
   });
--- a/src/control/internal/Replacement.cpp
+++ b/src/control/internal/Replacement.cpp
@@ -19,14 +19,14 @@
 
 namespace {
 
-/// Replicas that answer later are left out: two round trips and a queue.
+/// Replicas that answer later are ignored: two round trips and a queue.
 constexpr Duration StatusLimit = milliseconds(250);
-/// An instance that was made primary says so in its heartbeats by then.
+/// A promoted instance reports its new role in its heartbeats by then.
 constexpr Duration OrderTime = milliseconds(2500);
-/// The pause before a service's next run: an instance that was full may have
-/// room by then.
+/// The pause before the next attempt for a service: an instance that was full
+/// may have a free slot by then.
 constexpr Duration RunPause = milliseconds(150);
-/// A run that isn't through by then is given up and begun anew.
+/// An attempt that isn't finished by then is aborted and started again.
 constexpr Duration RunLimit = milliseconds(3000);
 
 } // namespace
@@ -70,13 +70,13 @@
   for (const auto *it : Node.Directory.ofService(service)) {
     if (it->State == InstanceState::Gone)
       continue;
-    // NOTE: an order that got no answer may never be carried out; then the
-    // instance goes on calling itself a replica, and doesn't count.
+    // NOTE: an order without an answer may never be carried out; then the
+    // instance still reports to be a replica, and doesn't count.
     if (isNamed(*it) && (isRecent || it->Role == InstanceRole::Primary))
       return it;
     const bool isPrimary = it->Role == InstanceRole::Primary;
-    // One that was replaced, or has lost its data, may still call itself
-    // primary.
+    // A primary that was replaced or has lost its data may still report to be
+    // the primary.
     const auto rankOf = [](const InstanceRecord &record) {
       return std::pair(record.HasRestarted, record.State);
     };
@@ -218,7 +218,7 @@
     ++replicas;
     answered += run.Answers.contains(it->Id);
   }
-  // Any `sync` replicas may hold the newest acknowledged commit alone.
+  // The newest acknowledged commit may be on any `sync` replicas alone.
   return answered >= replicas - sync + 1;
 }
 
@@ -276,8 +276,8 @@
                             " instance=", instance.str(),
                             " fence=", it->second.Fence,
                             " result=", static_cast<int>(result)));
-  // NOTE: an order without an answer may still be carried out, so the entry
-  // VMs hear of it too; they go by what the instance itself says.
+  // NOTE: an order without an answer may still be carried out, so entry VMs
+  // receive it too; they rely on the role that the instance itself reports.
   if (result == PromotionResult::Rejected)
     return finish(now, service);
   wire::Command command;
@@ -303,13 +303,13 @@
                             " instance=", instance.Id.str(),
                             " fence=", it->second.Fence,
                             " reason=\"it has started again\""));
-  // NOTE: the service rests after a replacement, but there was none: the next
-  // order, under a higher fence, must overtake this one.
+  // NOTE: not finish(), which holds off the next replacement: there was none,
+  // and the next order, under a higher fence, must supersede this one.
   end(now, instance.Service);
 }
 
 void Replacement::finish(TimePoint now, const std::string &service) {
-  // NOTE: resuming one that was promoted or never paused does nothing.
+  // NOTE: resuming a replica that was promoted or never paused has no effect.
   if (Node.syncReplicasOf(service) > 0)
     resumeReplicas(service);
   Node.Watch.noteReplaced(now, service);
--- a/src/control/internal/Replacement.h
+++ b/src/control/internal/Replacement.h
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The replacement of primaries, by the control group's leader: take a
-/// fence, ask the replicas how far they are, name the furthest one, and record
-/// it.
+/// \file Failover of primaries by the control group's leader: commit a fencing
+/// token, query the positions of the replicas, promote the most advanced one,
+/// and record the promotion.
 
 #ifndef STEPLEDGE_CONTROL_INTERNAL_REPLACEMENT_H
 #define STEPLEDGE_CONTROL_INTERNAL_REPLACEMENT_H
@@ -30,14 +30,14 @@
       : Node(node), Promoter(promoter), Probe(probe), Log(log) {}
 
   void tick(TimePoint now);
-  /// An entry that takes a fence was committed at \p index.
+  /// A TakeFence entry was committed at \p index.
   void fenceTaken(TimePoint now, const wire::Command &command,
                   std::uint64_t index);
-  /// The instance holds nothing of before: neither what it answered nor an
-  /// order that names it holds.
+  /// The instance has restarted without its data: its answers and an order to
+  /// promote it are void.
   void instanceRestarted(TimePoint now,
                          const membership::InstanceRecord &instance);
-  /// This member leads no longer, or anew.
+  /// This member has lost or regained leadership.
   void reset() {
     Running.clear();
     OrderedAt.clear();
@@ -48,7 +48,8 @@
 
   struct Run {
     Stage Step = Stage::TakingFence;
-    /// Tells the answers to this run from late ones to an earlier run.
+    /// Distinguishes the answers to this attempt from late ones to an earlier
+    /// one.
     std::uint64_t Number = 0;
     std::uint64_t Fence = 0;
     bool IsPlanned = false;
@@ -56,7 +57,7 @@
     TimePoint StepAt{};
     int AwaitedAnswers = 0;
     std::map<InstanceId, InstanceStatus> Answers;
-    /// The one that was ordered to lead.
+    /// The instance that was ordered to become primary.
     std::optional<InstanceId> Target;
     std::uint64_t TargetBornMs = 0;
   };
@@ -66,15 +67,16 @@
                         bool &isPlanned) const;
   const membership::InstanceRecord *
   presentPrimary(TimePoint now, const std::string &service) const;
-  /// Control has named this life of the instance.
+  /// Whether the recorded promotion names this incarnation of the instance.
   bool isNamed(const membership::InstanceRecord &record) const;
-  /// It calls itself primary but has lost its data, and another instance of the
-  /// service has not.
+  /// Whether \p primary reports to be the primary but has lost its data, while
+  /// another instance of the service has not.
   bool hasLostItsLead(const membership::InstanceRecord &primary) const;
   void start(TimePoint now, const std::string &service, bool isPlanned);
   void askReplicas(TimePoint now, const std::string &service, Run &run);
-  /// Where commits wait for replicas, none of these may receive more while one
-  /// is chosen, or it could miss what another one has let be acknowledged.
+  /// If commits wait for replicas, none of these may receive more while one is
+  /// chosen, or the chosen one could miss a commit that another one has let be
+  /// acknowledged.
   void pauseReplicas(TimePoint now, const std::string &service, Run &run);
   void resumeReplicas(const std::string &service);
   bool hasEnoughAnswers(const std::string &service, const Run &run) const;
--- a/src/control/tests/CallsInLogTest.cpp
+++ b/src/control/tests/CallsInLogTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A call is new to a leader's log once in a term, until it is committed.
+/// \file A call is new to a leader's log once per term, until it is committed.
 
 #include "control/internal/CallsInLog.h"
 
--- a/src/control/tests/ControlNodeTest.cpp
+++ b/src/control/tests/ControlNodeTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A group of control VMs: what it acknowledges it keeps, what it can't
-/// be sure of it doesn't answer, and it replaces a primary that is lost.
+/// \file A group of control VMs: it keeps what it has acknowledged, doesn't
+/// answer while its state is uncertain, and replaces a lost primary.
 
 #include "control/tests/FakeControls.h"
 
@@ -61,7 +61,7 @@
   group.run(milliseconds(300));
 }
 
-/// An entry VM tells the leader how long the primary has been silent.
+/// An entry VM reports to the leader how long the primary has been silent.
 void reportSight(FakeControls &group, const std::string &entryIp,
                  std::uint64_t silentMs) {
   peer::wire::Message message;
@@ -73,7 +73,7 @@
   group.node(group.leader()).peerSaid(entryIp, message);
 }
 
-/// An entry VM tells the leader that it sees what it saw last.
+/// An entry VM reports to the leader that its observations are unchanged.
 void repeatSight(FakeControls &group, const std::string &entryIp) {
   peer::wire::Message message;
   message.mutable_sights()->set_is_unchanged(true);
@@ -116,8 +116,9 @@
 }
 
 TEST_CASE("Control_RestartedVmsAnswerOnlyFromTheWholeLog") {
-  // Calls of an earlier life stand in the log under the same VM's name; they
-  // once finished a new read in the middle of the replay.
+  // Guards against mistaking calls of an earlier incarnation, which are in the
+  // log under the same VM, for new ones: they finished a new read in the middle
+  // of the replay.
   FakeControls group;
   group.run(milliseconds(1500));
   for (std::uint64_t version = 1; version <= 12; ++version)
@@ -158,7 +159,8 @@
   for (std::size_t vm = 0; vm < 3; ++vm)
     group.start(vm);
   group.run(milliseconds(2000));
-  // An entry VM that connects is told of it, whatever a late heartbeat says.
+  // An entry VM that connects receives this state, in spite of a late
+  // heartbeat.
   group.node(1).instanceSaid(group.now(), instanceOf("r1", false, 3),
                              [](bool) {});
   peer::wire::Hello hello;
@@ -231,7 +233,7 @@
   sayAll(group, 1);
   CHECK(heard("10.5.0.1") == 3);
   CHECK(heard("10.5.0.2") == 0);
-  // One that asks later is told of all of them.
+  // A later subscriber receives all of them.
   group.wantInstances("10.5.0.2", vm, true);
   CHECK(heard("10.5.0.2") == 3);
   group.wantInstances("10.5.0.1", vm, false);
@@ -240,7 +242,7 @@
   group.run(milliseconds(300));
   CHECK(heard("10.5.0.1") == 0);
   CHECK(heard("10.5.0.2") == 1);
-  // A new connection asks anew.
+  // A new connection has no subscription yet.
   group.loseFromOutside("10.5.0.2", vm);
   group.connectFromOutside("10.5.0.2", vm, hello);
   group.node(vm).instanceSaid(group.now(), instanceOf("r1", false, 3),
@@ -250,7 +252,7 @@
 }
 
 TEST_CASE("Control_ManyInstancesAreToldInFewMessages") {
-  // One by one they were 1,000 messages to each entry VM.
+  // Sent one by one, these were 1,000 messages to each entry VM.
   FakeControls group;
   group.run(milliseconds(1500));
   const auto vm = group.leader();
@@ -276,7 +278,7 @@
 }
 
 TEST_CASE("Control_PingsKeepWithinTheirBudgetAndSuspectsGoFirst") {
-  // Each would be asked four times a second: 2,400 questions.
+  // Without the limit, each would be pinged four times a second: 2,400 pings.
   constexpr int Services = 600;
   FakeControls group;
   group.run(milliseconds(1500));
@@ -306,7 +308,7 @@
   sayAll(group, 1);
   group.Platform.Statuses[InstanceId("r1")] = {
       membership::InstanceRole::Replica, {{3}, {100}}, {3}};
-  // Many have watched the service, and no longer do.
+  // Many VMs have monitored the service and no longer do.
   for (int i = 10; i < 20; ++i) {
     const std::string ip = "10.5.1." + std::to_string(i);
     reportSight(group, ip, 0);
@@ -362,7 +364,8 @@
   };
   for (const char *ip : {"1", "2", "3", "4", "5", "6"})
     report(ip, 0);
-  // Four VMs fall silent together with the primary; two and control miss it.
+  // Four VMs become unreachable together with the primary; two VMs and control
+  // miss it.
   group.Platform.Statuses[InstanceId("r1")] = {
       membership::InstanceRole::Replica, {{3}, {100}}, {3}};
   group.Platform.Silent.insert(InstanceId("p"));
@@ -372,7 +375,7 @@
     group.run(milliseconds(100));
   }
   CHECK(group.Platform.Orders.empty());
-  // It doesn't come back, so it is replaced after all.
+  // The primary stays unreachable, so it is finally replaced.
   for (std::uint64_t i = 50; i < 100; ++i) {
     report("1", i * 100);
     report("2", i * 100);
@@ -396,7 +399,7 @@
       group.run(milliseconds(100));
     }
   };
-  // One replica alone may lack what the other let be acknowledged.
+  // A single replica may lack a commit that the other one let be acknowledged.
   miss();
   CHECK(group.Platform.Orders.empty());
   CHECK(group.Platform.Paused.empty());
@@ -453,7 +456,7 @@
   group.start(away);
   group.run(milliseconds(1500));
   CHECK(read(group, away) == std::to_string(Changes));
-  // It counts: with the former leader gone, the two that are left go on.
+  // It counts as a voter: without the former leader, the two others go on.
   group.kill(group.leader());
   group.run(milliseconds(3000));
   CHECK(put(group, away, Changes + 1, "after") == true);
--- a/src/control/tests/EntryRosterTest.cpp
+++ b/src/control/tests/EntryRosterTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What entry VMs are told of each other, and what that costs.
+/// \file Which entry VMs the notices list, and the size of the notices.
 
 #include "control/EntryRoster.h"
 
@@ -87,7 +87,7 @@
   std::size_t bytes = 0;
   for (const auto &it : group.sentTo(ipOf(0)))
     bytes += it.ByteSizeLong();
-  // In ten seconds without a change: 7,615 bytes while each full notice named
-  // all VMs, 310 now.
+  // Ten seconds without a change: 7,615 bytes if each full notice lists all
+  // VMs, 310 if not.
   CHECK(bytes < 1000);
 }
--- a/src/control/tests/FakeControls.h
+++ b/src/control/tests/FakeControls.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Control VMs in one process, with connections that a test can cut.
+/// \file Control VMs in one process, with connections that a test can
+/// interrupt.
 
 #ifndef STEPLEDGE_CONTROL_TESTS_FAKECONTROLS_H
 #define STEPLEDGE_CONTROL_TESTS_FAKECONTROLS_H
@@ -18,7 +19,7 @@
 
 namespace stepledge::control::tests {
 
-/// Orders and answers as a platform would, at once.
+/// Records orders and answers them at once.
 class FakePlatform : public IPromoter, public IInstanceProbe {
 public:
   void promote(const PromotionOrder &order,
@@ -72,7 +73,7 @@
   std::map<InstanceId, int> Pings;
   std::set<InstanceId> Forgotten;
   bool Answers = true;
-  /// Nothing is answered until the test does.
+  /// Answers are held until the test sends them.
   bool HoldsOrders = false;
   bool HoldsStatuses = false;
   std::vector<std::function<void(PromotionResult)>> HeldOrders;
@@ -81,53 +82,57 @@
       HeldStatuses;
 };
 
-/// Three control VMs whose disks and network work at once, or not at all.
+/// Three control VMs whose disks and network either work without delay or not
+/// at all.
 class FakeControls {
 public:
   using Decode =
       std::function<absl::StatusOr<Configuration>(const std::string &)>;
 
-  /// \p decode reads the operators' documents; without it all are alike.
+  /// \p decode decodes the operators' documents; without it all give the same
+  /// configuration, but for those that begin with "sync".
   explicit FakeControls(Decode decode = {});
 
   void run(Duration time);
   void kill(std::size_t vm);
   void start(std::size_t vm);
-  /// The number of the VM that leads.
+  /// The index of the VM that leads.
   std::size_t leader() const;
   ControlNode &node(std::size_t vm) { return *Vms[vm].Node; }
   TimePoint now() const { return Now; }
-  /// What the VM sent to the address \p ip of an entry VM.
+  /// The messages sent to the entry VM at \p ip.
   std::vector<peer::wire::Message> &sentTo(const std::string &ip) {
     return ToEntries[ip];
   }
-  /// The bytes of the calls that the VM has passed on to others.
+  /// The bytes of the calls that the VM has forwarded to others.
   std::size_t callBytes(std::size_t vm) const { return Vms[vm].CallBytes; }
   void cutOff(std::size_t vm) { Cut.insert(vm); }
   void rejoin(std::size_t vm) { Cut.erase(vm); }
-  /// Ends the VM's connections to the others, and tells all of them.
+  /// Closes the VM's connections to the others and notifies both sides.
   void disconnect(std::size_t vm);
   void reconnect(std::size_t vm);
-  /// All lose power, and come back connected to each other.
+  /// Kills all VMs, starts them again and connects them to each other.
   void restartAll();
-  /// All disks take \p time longer before what was written is synced.
+  /// No disk completes a sync for \p time.
   void stallDisks(Duration time) { DisksStalledUntil = Now + time; }
-  /// The bytes of all entries that the VM's log was given.
+  /// The bytes of all entries appended to the VM's log.
   std::size_t entryBytes(std::size_t vm) const { return Vms[vm].EntryBytes; }
 
-  /// What an entry VM at \p ip does on its connection to \p vm.
+  /// Events on the connection of an entry VM at \p ip to \p vm.
   void connectFromOutside(const std::string &ip, std::size_t vm,
                           const peer::wire::Hello &hello);
   void sendFromOutside(const std::string &ip, std::size_t vm,
                        const peer::wire::Message &message);
-  /// The entry VM at \p ip wants to hear of the instances from \p vm.
+  /// Starts or ends the subscription of the entry VM at \p ip to the instances
+  /// at \p vm.
   void wantInstances(const std::string &ip, std::size_t vm, bool isWanted);
   void loseFromOutside(const std::string &ip, std::size_t vm);
   static std::string ipOf(std::size_t vm) {
     return "10.0.0." + std::to_string(vm + 1);
   }
 
-  /// Told of each message to an entry VM; where it isn't set, sentTo() is.
+  /// Receives each message to an entry VM; if it isn't set, sentTo() collects
+  /// them.
   std::function<void(std::size_t vm, const std::string &ip,
                      const peer::wire::Message &message)>
       OnSentOutside;
--- a/src/control/tests/GroupReturnTest.cpp
+++ b/src/control/tests/GroupReturnTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Entry VMs are told as soon as a control group that was killed is back,
-/// by each of its members, and never of a state that is being replayed.
+/// \file After a control group was killed, each of its members notifies entry
+/// VMs as soon as it is back, and never of a state that is being replayed.
 
 #include "control/tests/FakeControls.h"
 
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr const char *EntryIp = "10.0.1.1";
-/// What callers can bear without any configuration once the group could lead.
+/// How long callers can go without any configuration once the group could lead.
 constexpr Duration NoticeLimit = milliseconds(150);
 constexpr std::uint64_t NewestVersion = 9;
 
@@ -39,8 +39,8 @@
   }
 }
 
-/// The members that have told the entry VM of the newest state; none may stand
-/// behind an older one.
+/// The members that have sent the newest state to the entry VM; none may report
+/// an older one as fresh.
 std::set<std::size_t> restartAndListen(FakeControls &group) {
   std::set<std::size_t> fresh;
   group.OnSentOutside = [&](std::size_t vm, const std::string &ip,
@@ -78,7 +78,7 @@
   FakeControls group;
   putVersions(group);
   int told = 0;
-  // At ten places between two heartbeats.
+  // At ten offsets between two heartbeats.
   for (std::int64_t place = 0; place < 100; place += 10) {
     const std::size_t late = (group.leader() + 1) % 3;
     group.disconnect(late);
--- a/src/control/tests/RepeatedCallTest.cpp
+++ b/src/control/tests/RepeatedCallTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A call that is made again while its first copy is on its way, or after
-/// it took effect, costs the log next to nothing and is still acknowledged only
+/// \file A call that is retried while its first copy is in flight, or after it
+/// took effect, adds almost nothing to the log and is still acknowledged only
 /// after a commit.
 
 #include "control/tests/FakeControls.h"
@@ -24,12 +24,13 @@
 namespace {
 
 constexpr std::size_t Vms = 3;
-/// A document of some 260 KB.
+/// A document of about 260 KB.
 constexpr int Routes = 1400;
 constexpr int TimeoutMs = 800;
-/// Longer than two repeats of a call, and shorter than a call's limit.
+/// Longer than two retry intervals of a call, and shorter than a call's
+/// timeout.
 constexpr Duration DiskStall = milliseconds(700);
-/// All other entries of these tests' logs together.
+/// An upper bound of all other log entries of a test together.
 constexpr std::size_t SmallEntries = 4096;
 constexpr Duration CallTime = milliseconds(1200);
 
@@ -104,7 +105,7 @@
   const std::size_t follower = followerOf(group);
   const std::size_t old = group.leader();
   group.cutOff(old);
-  // The others stand for election 0.5 to 1 s after its last word.
+  // The others become candidates 0.5 to 1 s after its last heartbeat.
   group.run(milliseconds(400));
   const auto done = put(group, follower, 1, document);
   group.run(milliseconds(840));
@@ -119,7 +120,7 @@
   const auto first = put(group, 0, 1, document);
   group.run(CallTime);
   CHECK(*first == true);
-  // The acknowledgement was lost, so the operator turns to each VM in turn.
+  // The acknowledgement was lost, so the operator retries at each VM in turn.
   for (std::size_t vm = 0; vm < Vms; ++vm) {
     const auto done = put(group, vm, 1, document);
     group.run(CallTime);
@@ -142,7 +143,7 @@
   const auto alone = put(group, old, 1, document);
   group.run(CallTime);
   CHECK(*alone == false);
-  // One that follows can't answer from what it holds either.
+  // A follower can't acknowledge it from its own copy either.
   group.rejoin(old);
   group.run(milliseconds(2500));
   const std::size_t follower = followerOf(group);
@@ -157,7 +158,7 @@
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, 2, TimeoutMs);
   group.stallDisks(DiskStall);
-  // Both are on their way at once, and the later one is another document.
+  // Both are in flight at once, and the later one is another document.
   const auto first = put(group, group.leader(), 1, document);
   const auto second =
       put(group, followerOf(group), 1, routeListDocument(1, 3, TimeoutMs));
@@ -196,7 +197,7 @@
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
   const std::size_t follower = followerOf(group);
-  // What is sent now doesn't arrive, and then the connection ends.
+  // Messages sent now don't arrive, and then the connection is closed.
   group.cutOff(follower);
   const auto done = put(group, group.leader(), 1, document);
   group.run(milliseconds(100));
--- a/src/control/tests/RestartedInstanceTest.cpp
+++ b/src/control/tests/RestartedInstanceTest.cpp
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Instances that start again under their id: what was learned from the
-/// earlier life neither promotes nor names one, and marks and records of it
-/// leave the next one alone.
+/// \file Instances that restart under their id: answers of the earlier
+/// incarnation lead to no promotion, and its marks and records don't apply to
+/// the next one.
 
 #include "control/ClusterState.h"
 #include "control/tests/FakeControls.h"
@@ -40,7 +40,7 @@
   group.run(milliseconds(60));
 }
 
-/// A group that knows a primary and two replicas; r1 has received the most.
+/// A group with a primary and two replicas, of which r1 has received the most.
 void prepare(FakeControls &group) {
   group.run(milliseconds(1500));
   say(group, instanceOf("p", true, FirstLife, 5));
@@ -52,8 +52,8 @@
       {InstanceId("p"), {membership::InstanceRole::Primary, {{3}, {99}}, {3}}}};
 }
 
-/// The primary is missed by all, as it is where it has crashed, until the
-/// leader asks the replicas or names one.
+/// All VMs report the primary as silent, as after a crash, until the leader
+/// queries the replicas or promotes one.
 void losePrimary(FakeControls &group) {
   group.Platform.Statuses.erase(InstanceId("p"));
   group.Platform.Silent.insert(InstanceId("p"));
@@ -100,7 +100,7 @@
   CHECK(state.lifecycleOf("i", SecondLife) == wire::READY);
   state.apply(2, markOf(SecondLife, wire::LEAVING));
   CHECK(state.lifecycleOf("i", SecondLife) == wire::LEAVING);
-  // A late good-bye of the first life.
+  // A late deregistration of the first incarnation.
   state.apply(3, markOf(FirstLife, wire::GONE));
   CHECK(state.lifecycleOf("i", SecondLife) == wire::LEAVING);
   ClusterState restored;
@@ -144,7 +144,7 @@
   group.Platform.HoldsStatuses = true;
   losePrimary(group);
   REQUIRE(group.Platform.HeldStatuses.size() >= 2);
-  // r1 is furthest, answers, and starts again before the choice.
+  // r1 is the most advanced, answers, and restarts before the choice.
   for (auto &[id, onDone] : group.Platform.HeldStatuses)
     if (id == InstanceId("r1") && onDone)
       std::exchange(onDone,
@@ -168,7 +168,7 @@
   losePrimary(group);
   REQUIRE(group.Platform.Orders.size() == 1);
   REQUIRE(group.Platform.Orders[0].Instance == InstanceId("r1"));
-  // It starts again, empty, before the order is answered.
+  // It restarts without data before the order is answered.
   group.Platform.Statuses[InstanceId("r1")].Received = {{3}, {0}};
   say(group, instanceOf("r1", false, SecondLife, 1));
   group.Platform.HeldOrders[0](PromotionResult::Accepted);
@@ -204,7 +204,7 @@
 TEST_CASE("RestartedInstance_SilenceSeenOfTheEarlierLifeDoesNotCount") {
   FakeControls group;
   prepare(group);
-  // All have started anew, so the empty primary leads by its own word.
+  // All have restarted, so the empty primary stays primary by its own report.
   for (const char *id : {"r1", "r2"})
     say(group, instanceOf(id, false, SecondLife, 1));
   say(group, instanceOf("p", true, SecondLife, 1));
--- a/src/control/tests/RouteListDocument.cpp
+++ b/src/control/tests/RouteListDocument.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// What a route's field names and fixed values take in an operators' document.
+/// The bytes of a route's field names and fixed values in an operators'
+/// document.
 constexpr std::size_t FillBytes = 170;
 constexpr int OtherTimeoutMs = 800;
-/// Odd, so that the names of two routes never meet; it spreads their letters.
+/// Odd, so that no two routes have the same name; it spreads their letters.
 constexpr std::uint32_t NameFactor = 2654435761U;
 
 } // namespace
--- a/src/control/tests/RouteListDocument.h
+++ b/src/control/tests/RouteListDocument.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file An operators' document for tests: a version and a list of routes, as
-/// long a route as the documents of real operators are.
+/// \file An operators' document for tests: a version and a list of routes, each
+/// as long as in the documents of real operators.
 
 #ifndef STEPLEDGE_CONTROL_TESTS_ROUTELISTDOCUMENT_H
 #define STEPLEDGE_CONTROL_TESTS_ROUTELISTDOCUMENT_H
--- a/src/control/types/Configuration.h
+++ b/src/control/types/Configuration.h
@@ -29,16 +29,16 @@
   ReadYourWrites,
 };
 
-/// A customer of the operator: who may ask, and how often.
+/// A customer of the operator: its API keys, priority and rate limit.
 struct Organisation {
   OrganisationId Id;
-  /// Of the keys that its clients show; the keys themselves stay with the
-  /// control VMs.
+  /// The digests of the API keys of its clients; the keys themselves stay on
+  /// the control VMs.
   std::set<KeyDigest> Keys;
   /// 0 ranks highest.
   int Priority = 0;
-  /// Operations a second over all VMs, and how many more may come at once; no
-  /// limit where the rate is 0.
+  /// Operations per second over all VMs, and the burst on top of them;
+  /// unlimited if the rate is 0.
   double RatePerSecond = 0;
   double Burst = 0;
 
@@ -54,7 +54,7 @@
   Duration MaxStaleness{};
   /// 0 ranks highest.
   int Priority = 0;
-  /// Clients need no key.
+  /// Clients need no API key.
   bool IsPublic = false;
 
   bool operator==(const Route &) const = default;
@@ -62,9 +62,10 @@
 
 struct ServiceSettings {
   std::string Name;
-  /// The most connections an instance takes, from all its callers together.
+  /// The maximum number of connections to an instance from all its callers
+  /// together.
   int MaxConnections = 0;
-  /// Replicas that must hold a commit before it is acknowledged.
+  /// The number of replicas that must hold a commit before it is acknowledged.
   int SyncReplicas = 0;
 
   bool operator==(const ServiceSettings &) const = default;
@@ -75,12 +76,13 @@
   std::map<DatabaseId, Route> Routes;
   std::map<std::string, ServiceSettings> Services;
   std::map<OrganisationId, Organisation> Organisations;
-  /// Clients show keys; where it is false, anybody may ask.
+  /// Clients must present an API key; if false, any client is served.
   bool HasOrganisations = false;
-  /// How long a transaction may rest between two statements.
+  /// How long a transaction may be idle between two statements.
   Duration TransactionIdleLimit{};
 
-  /// Whose key it is; none for an unknown or withdrawn one.
+  /// The organisation that \p key belongs to; null if the key is unknown or
+  /// withdrawn.
   const Organisation *findByKey(const KeyDigest &key) const {
     const auto it = std::find_if(
         Organisations.begin(), Organisations.end(),
