--- a/src/control/ControlNode.cpp
+++ b/src/control/ControlNode.cpp
@@ -228,7 +228,7 @@
         static_cast<InstanceState>(command.mark_instance().state());
     Log.decision(absl::StrCat("event=instance_marked instance=", id.str(),
                               " state=", static_cast<int>(state)));
-    if (Directory.raise(id, command.mark_instance().born_ms(), state))
+    if (Directory.raiseState(id, command.mark_instance().born_ms(), state))
       Untold.insert(id);
   }
   if (command.has_take_fence())
--- a/src/membership/HomeTable.cpp
+++ b/src/membership/HomeTable.cpp
@@ -32,7 +32,7 @@
     return;
   Entries = std::move(entries);
   Rankings.clear();
-  Places.clear();
+  RemainderRanks.clear();
 }
 
 bool HomeTable::isNeeded(int usable) const {
@@ -44,9 +44,9 @@
 HomeShare HomeTable::share(int usable) const {
   HomeShare share;
   share.Homes =
-      std::clamp(usable / Options.FewestConnections, 1, Options.MostHomes);
+      std::clamp(usable / Options.MinConnections, 1, Options.MaxHomes);
   share.Connections =
-      std::max(1, (usable - usable / Options.GuestShare) / share.Homes);
+      std::max(1, (usable - usable / Options.NonHomeDivisor) / share.Homes);
   share.Guests = std::max(0, usable - share.Homes * share.Connections);
   return share;
 }
@@ -54,12 +54,12 @@
 int HomeTable::evenShare(const InstanceId &instance, const HallId &hall,
                          int connections) {
   const int vms = std::max(1, static_cast<int>(Entries.size()));
-  const int extra = placeOf(instance, hall) < connections % vms ? 1 : 0;
+  const int extra = remainderRankOf(instance, hall) < connections % vms ? 1 : 0;
   return std::max(1, connections / vms + extra);
 }
 
-int HomeTable::placeOf(const InstanceId &instance, const HallId &hall) {
-  const auto [known, isNew] = Places.try_emplace(instance, 0);
+int HomeTable::remainderRankOf(const InstanceId &instance, const HallId &hall) {
+  const auto [known, isNew] = RemainderRanks.try_emplace(instance, 0);
   if (!isNew)
     return known->second;
   const auto rankOf = [&](const EntryVm &it) {
@@ -127,9 +127,9 @@
     return std::tuple(!std::get<bool>(a), std::get<std::uint64_t>(a)) <
            std::tuple(!std::get<bool>(b), std::get<std::uint64_t>(b));
   });
-  const auto guests =
+  const auto nonHomes =
       std::min(ranked.size() - count, static_cast<std::size_t>(share.Guests));
-  ranked.erase(end + static_cast<std::ptrdiff_t>(guests), ranked.end());
+  ranked.erase(end + static_cast<std::ptrdiff_t>(nonHomes), ranked.end());
   // Each VM has its own order of the homes, so that borrowing is spread over
   // them.
   std::sort(ranked.begin(), end, [&](const auto &a, const auto &b) {
--- a/src/membership/HomeTable.h
+++ b/src/membership/HomeTable.h
@@ -21,13 +21,13 @@
 struct HomeOptions {
   /// The maximum number of homes of one instance: enough that losing one
   /// doesn't interrupt service, few enough that each keeps several connections.
-  int MostHomes = 6;
+  int MaxHomes = 6;
   /// The minimum number of connections per home; an instance with fewer
   /// connections has fewer homes.
-  int FewestConnections = 4;
+  int MinConnections = 4;
   /// One in this many of an instance's connections is left to non-home VMs, one
   /// each, as a fallback for a home that is full or unreachable.
-  int GuestShare = 8;
+  int NonHomeDivisor = 8;
 };
 
 /// How the connections to one instance are divided among the VMs.
@@ -90,7 +90,7 @@
   };
   /// How many VMs precede this one when the remainder of the connections to the
   /// instance is assigned.
-  int placeOf(const InstanceId &instance, const HallId &hall);
+  int remainderRankOf(const InstanceId &instance, const HallId &hall);
   const Ranking &ranking(const InstanceId &instance, const HallId &hall,
                          const HomeShare &share);
 
@@ -103,7 +103,7 @@
   /// which took 3.1 us with 69 VMs and 14.6 us with 300 without the cache and
   /// takes 0.07 and 0.08 us with it, while a tick has about 1,000 us on a small
   /// processor.
-  std::map<InstanceId, int> Places;
+  std::map<InstanceId, int> RemainderRanks;
 };
 
 } // namespace stepledge::membership
--- a/src/membership/InstanceDirectory.cpp
+++ b/src/membership/InstanceDirectory.cpp
@@ -7,19 +7,20 @@
 
 namespace stepledge::membership {
 
-InstanceRecord merged(const InstanceRecord &known, const InstanceRecord &word) {
-  if (word.BornMs < known.BornMs)
+InstanceRecord merged(const InstanceRecord &known,
+                      const InstanceRecord &update) {
+  if (update.BornMs < known.BornMs)
     return known;
-  if (word.BornMs > known.BornMs) {
-    InstanceRecord next = word;
+  if (update.BornMs > known.BornMs) {
+    InstanceRecord next = update;
     // NOTE: a start time reported for the first time is no restart: the
     // instance may have started long ago.
     next.HasRestarted |= known.BornMs != 0;
     return next;
   }
-  InstanceRecord next = word.isNewerThan(known) ? word : known;
-  next.State = std::max(word.State, known.State);
-  next.HasRestarted = word.HasRestarted || known.HasRestarted;
+  InstanceRecord next = update.isNewerThan(known) ? update : known;
+  next.State = std::max(update.State, known.State);
+  next.HasRestarted = update.HasRestarted || known.HasRestarted;
   return next;
 }
 
@@ -31,27 +32,27 @@
   }
   auto &known = it->second;
   const InstanceRecord next = merged(known.Record, record);
-  const bool isLaterLife = next.BornMs > known.Record.BornMs;
+  const bool isLaterIncarnation = next.BornMs > known.Record.BornMs;
   const bool isNewer = next.isNewerThan(known.Record);
   InstanceRecord same = next;
   same.Sequence = known.Record.Sequence;
   const bool isChanged = same != known.Record;
   if (next.Service != known.Record.Service) {
-    unlist(known.Record);
+    removeFromService(known.Record);
     ByService[next.Service].insert(next.Id);
   }
   known.Record = next;
   if (isNewer)
-    known.HeardAt = now;
-  if (isLaterLife)
+    known.LastHeartbeatAt = now;
+  if (isLaterIncarnation)
     return Change::Restarted;
   if (isChanged)
     return Change::Changed;
   return isNewer ? Change::Alive : Change::None;
 }
 
-bool InstanceDirectory::raise(const InstanceId &id, std::uint64_t bornMs,
-                              InstanceState state) {
+bool InstanceDirectory::raiseState(const InstanceId &id, std::uint64_t bornMs,
+                                   InstanceState state) {
   const auto it = Instances.find(id);
   if (it == Instances.end())
     return false;
@@ -94,7 +95,7 @@
   return names;
 }
 
-void InstanceDirectory::unlist(const InstanceRecord &record) {
+void InstanceDirectory::removeFromService(const InstanceRecord &record) {
   const auto it = ByService.find(record.Service);
   if (it == ByService.end())
     return;
@@ -107,10 +108,10 @@
                                                       Duration silence) {
   std::vector<InstanceRecord> dropped;
   for (const auto &[id, it] : Instances)
-    if (now - it.HeardAt > silence)
+    if (now - it.LastHeartbeatAt > silence)
       dropped.push_back(it.Record);
   for (const auto &it : dropped) {
-    unlist(it);
+    removeFromService(it);
     Instances.erase(it.Id);
   }
   return dropped;
--- a/src/membership/InstanceDirectory.h
+++ b/src/membership/InstanceDirectory.h
@@ -28,10 +28,11 @@
   Restarted,
 };
 
-/// The record that results from \p known and the heartbeat \p word of the same
-/// instance. A state is never reverted within an incarnation, not even by a
-/// later heartbeat.
-InstanceRecord merged(const InstanceRecord &known, const InstanceRecord &word);
+/// The record that results from \p known and the heartbeat \p update of the
+/// same instance. A state is never reverted within an incarnation, not even by
+/// a later heartbeat.
+InstanceRecord merged(const InstanceRecord &known,
+                      const InstanceRecord &update);
 
 class InstanceDirectory {
 public:
@@ -39,7 +40,8 @@
   Change merge(TimePoint now, const InstanceRecord &record);
   /// Permanently raises the state of the incarnation that started at \p bornMs
   /// to \p state.
-  bool raise(const InstanceId &id, std::uint64_t bornMs, InstanceState state);
+  bool raiseState(const InstanceId &id, std::uint64_t bornMs,
+                  InstanceState state);
   const InstanceRecord *find(const InstanceId &id) const;
   std::vector<InstanceRecord> all() const;
   /// Valid until the next change, like the references that forEach passes.
@@ -57,10 +59,10 @@
 private:
   struct Known {
     InstanceRecord Record;
-    TimePoint HeardAt{};
+    TimePoint LastHeartbeatAt{};
   };
 
-  void unlist(const InstanceRecord &record);
+  void removeFromService(const InstanceRecord &record);
 
   std::map<InstanceId, Known> Instances;
   /// The leader checks each service about 50 times a second. Scanning all
--- a/src/membership/InstanceNames.h
+++ b/src/membership/InstanceNames.h
@@ -14,12 +14,12 @@
 namespace stepledge::membership {
 
 /// The maximum length of a name in bytes, the same as for a DNS host name.
-constexpr std::size_t MostNameBytes = 255;
+constexpr std::size_t MaxNameBytes = 255;
 
 /// Names are written into lines whose fields are separated by spaces, so they
 /// may hold only printable ASCII without spaces.
 inline bool isName(const std::string &text) {
-  return !text.empty() && text.size() <= MostNameBytes &&
+  return !text.empty() && text.size() <= MaxNameBytes &&
          std::all_of(text.begin(), text.end(),
                      [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
--- a/src/membership/tests/HomeTableTest.cpp
+++ b/src/membership/tests/HomeTableTest.cpp
@@ -200,18 +200,18 @@
   for (int i = 0; i < 80; ++i) {
     const OrganisationId organisation("o" + std::to_string(i));
     std::set<std::vector<std::string>> homes;
-    std::set<std::vector<std::string>> guests;
+    std::set<std::vector<std::string>> nonHomes;
     for (const auto &it : entries) {
       HomeTable table(it.Ip);
       table.setEntries(entries);
       homes.insert(table.homesOf(InstanceId("i-1"), hall, share, organisation));
-      guests.insert(
+      nonHomes.insert(
           table.guestsOf(InstanceId("i-1"), hall, share, organisation));
     }
     REQUIRE(homes.size() == 1);
-    REQUIRE(guests.size() == 1);
+    REQUIRE(nonHomes.size() == 1);
     CHECK(homes.begin()->size() == 4);
-    CHECK(guests.begin()->size() == 7);
+    CHECK(nonHomes.begin()->size() == 7);
     ++firstFor[homes.begin()->front()];
   }
   // Each of the four is the first choice of many organisations.
--- a/src/membership/tests/InstanceDirectoryTest.cpp
+++ b/src/membership/tests/InstanceDirectoryTest.cpp
@@ -68,7 +68,7 @@
 TEST_CASE("InstanceDirectory_LateWordDoesNotUndoThatItIsGone") {
   InstanceDirectory directory;
   directory.merge(Start, recordOf("old", 7, InstanceRole::Primary));
-  REQUIRE(directory.raise(InstanceId("old"), 0, InstanceState::Gone));
+  REQUIRE(directory.raiseState(InstanceId("old"), 0, InstanceState::Gone));
   directory.merge(Start, recordOf("old", 8, InstanceRole::Primary));
   CHECK(directory.find(InstanceId("old"))->State == InstanceState::Gone);
 }
