--- a/src/control/ClusterState.cpp
+++ b/src/control/ClusterState.cpp
@@ -11,7 +11,7 @@
 
 /// Beyond this number, the oldest marks are dropped: no heartbeat is so late
 /// that this many instances were replaced in between.
-constexpr std::size_t MostMarks = 2000;
+constexpr std::size_t MaxMarks = 2000;
 
 } // namespace
 
@@ -19,11 +19,11 @@
   AppliedIndex = index;
   switch (command.body_case()) {
   case wire::Command::kPutConfiguration:
-    if (command.put_configuration().version() > Newest.version())
-      Newest = command.put_configuration();
+    if (command.put_configuration().version() > NewestConfiguration.version())
+      NewestConfiguration = command.put_configuration();
     break;
   case wire::Command::kMarkInstance:
-    mark(command.mark_instance());
+    applyMark(command.mark_instance());
     break;
   case wire::Command::kRecordPromotion: {
     const auto &promotion = command.record_promotion();
@@ -33,7 +33,7 @@
     break;
   }
   case wire::Command::kKeepInstance:
-    keep(command.keep_instance());
+    applyKeep(command.keep_instance());
     break;
   case wire::Command::kTakeFence:
   case wire::Command::BODY_NOT_SET:
@@ -43,7 +43,7 @@
   }
 }
 
-void ClusterState::keep(const wire::KeepInstance &instance) {
+void ClusterState::applyKeep(const wire::KeepInstance &instance) {
   const auto held = Instances.find(instance.instance());
   // NOTE: the proposer had not yet received a heartbeat of the later
   // incarnation.
@@ -57,13 +57,13 @@
     Instances[instance.instance()] = instance;
 }
 
-void ClusterState::mark(const wire::MarkInstance &mark) {
+void ClusterState::applyMark(const wire::MarkInstance &mark) {
   const auto [it, isNew] = Marks.try_emplace(mark.instance(), mark);
   auto &held = it->second;
   if (mark.born_ms() < held.born_ms())
     return;
-  const bool isLaterLife = mark.born_ms() > held.born_ms();
-  if (isLaterLife || mark.state() > held.state())
+  const bool isLaterIncarnation = mark.born_ms() > held.born_ms();
+  if (isLaterIncarnation || mark.state() > held.state())
     held = mark;
   const auto kept = Instances.find(mark.instance());
   if (held.state() == wire::GONE && kept != Instances.end() &&
@@ -72,7 +72,7 @@
   if (!isNew)
     return;
   MarkOrder.push_back(mark.instance());
-  if (MarkOrder.size() <= MostMarks)
+  if (MarkOrder.size() <= MaxMarks)
     return;
   Marks.erase(MarkOrder.front());
   MarkOrder.pop_front();
@@ -88,7 +88,7 @@
 std::string ClusterState::serialize() const {
   wire::State state;
   state.set_index(AppliedIndex);
-  *state.mutable_configuration() = Newest;
+  *state.mutable_configuration() = NewestConfiguration;
   for (const auto &it : MarkOrder)
     *state.add_marks() = Marks.at(it);
   for (const auto &[service, it] : Promotions)
@@ -104,9 +104,9 @@
     return false;
   *this = ClusterState();
   AppliedIndex = state.index();
-  Newest = state.configuration();
+  NewestConfiguration = state.configuration();
   for (const auto &it : state.marks())
-    mark(it);
+    applyMark(it);
   for (const auto &it : state.promotions())
     Promotions[it.service()] = it;
   for (const auto &it : state.instances())
--- a/src/control/ClusterState.h
+++ b/src/control/ClusterState.h
@@ -25,8 +25,10 @@
   bool restore(const std::string &bytes);
 
   std::uint64_t appliedIndex() const { return AppliedIndex; }
-  std::uint64_t configurationVersion() const { return Newest.version(); }
-  const std::string &document() const { return Newest.document(); }
+  std::uint64_t configurationVersion() const {
+    return NewestConfiguration.version();
+  }
+  const std::string &document() const { return NewestConfiguration.document(); }
   /// Whether the incarnation of the instance that started at \p bornMs is
   /// leaving or has left.
   wire::Lifecycle lifecycleOf(const std::string &instance,
@@ -42,11 +44,11 @@
   }
 
 private:
-  void mark(const wire::MarkInstance &mark);
-  void keep(const wire::KeepInstance &instance);
+  void applyMark(const wire::MarkInstance &mark);
+  void applyKeep(const wire::KeepInstance &instance);
 
   std::uint64_t AppliedIndex = 0;
-  wire::PutConfiguration Newest;
+  wire::PutConfiguration NewestConfiguration;
   /// By instance, the mark of its latest incarnation that has one.
   std::map<std::string, wire::MarkInstance> Marks;
   std::deque<std::string> MarkOrder;
--- a/src/control/ControlModule.cpp
+++ b/src/control/ControlModule.cpp
@@ -14,23 +14,23 @@
 
 namespace {
 
-std::uint64_t drawNumber() {
+std::uint64_t randomNumber() {
   std::random_device random;
   return (std::uint64_t{random()} << 32U) | random();
 }
 
 /// The number of a member of the first control group; all members of that group
 /// must compute the same one.
-std::uint64_t firstNumber(const std::string &ip) {
+std::uint64_t initialMemberNumber(const std::string &ip) {
   return XXH64(ip.data(), ip.size(), 0) | 1U;
 }
 
 /// The initial state of the first group: its voters and an empty log.
-consensus::DurableState firstState(const std::set<std::string> &ips) {
+consensus::DurableState initialState(const std::set<std::string> &ips) {
   consensus::DurableState state;
   for (const auto &it : ips) {
     auto &voter = *state.Snapshot.mutable_membership()->add_voters();
-    voter.set_number(firstNumber(it));
+    voter.set_number(initialMemberNumber(it));
     voter.set_ip(it);
   }
   return state;
@@ -55,7 +55,7 @@
   hello.set_kind(peer::wire::CONTROL);
   Hub =
       std::make_unique<peer::PeerHub>(Context, hello, Options.PeerPort, *this);
-  Options.Node.FirstCall = drawNumber();
+  Options.Node.FirstCallNumber = randomNumber();
   Node = std::make_unique<ControlNode>(Options.Node, *Consensus, *this, *Hub,
                                        Promoter, Probe, Log);
   const auto ec = Hub->listen(Options.ListenIp);
@@ -80,16 +80,16 @@
     self.set_number((*loaded)->Identity);
     state = std::move((*loaded)->State);
   } else if (isFirst) {
-    self.set_number(firstNumber(Options.Node.Ip));
-    state = firstState(seeds);
+    self.set_number(initialMemberNumber(Options.Node.Ip));
+    state = initialState(seeds);
   } else {
     // NOTE: a member with a wiped disk must never vote under its old number.
-    self.set_number(drawNumber() | 2U);
+    self.set_number(randomNumber() | 2U);
   }
   consensus::ConsensusOptions options;
   options.TargetVoters = 2 * Options.TolerableLosses + 1;
   Consensus = std::make_unique<consensus::ConsensusNode>(
-      self, options, std::move(state), drawNumber(), Clock());
+      self, options, std::move(state), randomNumber(), Clock());
   Log.decision(absl::StrCat("event=log_opened member=", self.number(),
                             " new=", isNew, " first=", isFirst,
                             " commit=", Consensus->commitIndex()));
--- a/src/control/ControlNode.cpp
+++ b/src/control/ControlNode.cpp
@@ -3,7 +3,7 @@
 
 #include "control/ControlNode.h"
 
-#include "control/internal/Replacement.h"
+#include "control/internal/FailoverCoordinator.h"
 #include "peer/InstanceCodec.h"
 
 #include "absl/strings/str_cat.h"
@@ -20,9 +20,9 @@
                          IPromoter &promoter, IInstanceProbe &probe,
                          IControlLog &log)
     : Options(std::move(options)), Node(node), Writer(writer), Peers(peers),
-      Probe(probe), Log(log),
-      Replacer(std::make_unique<Replacement>(*this, promoter, probe, log)),
-      LastCall(Options.FirstCall) {
+      Probe(probe), Log(log), Failover(std::make_unique<FailoverCoordinator>(
+                                  *this, promoter, probe, log)),
+      LastCallNumber(Options.FirstCallNumber) {
   updatePeers();
 }
 
@@ -48,12 +48,12 @@
   for (auto &[number, it] : Calls) {
     if (now >= it.Deadline)
       late.push_back(number);
-    else if (isTryDue(now, it))
+    else if (isRetryDue(now, it))
       tryCall(now, number, it);
   }
   for (const auto it : late)
     finishCall(it, false);
-  tellUntold();
+  sendUnsentInstances();
   if (Node.needsToJoin(now) && now >= JoinAt) {
     JoinAt = now + Options.JoinInterval;
     peer::wire::Message message;
@@ -61,19 +61,19 @@
     join.set_from(Node.self().number());
     *join.mutable_join_request()->mutable_member() = Node.self();
     message.set_consensus(join.SerializeAsString());
-    tellControls(message);
+    sendToControls(message);
   }
-  reviewFreshness(now);
+  updateFreshness(now);
   if (IsNoticeDue || now >= NoticeAt) {
     if (std::exchange(IsNoticeDue, false))
       FullNoticeAt = now;
     NoticeAt = now + Options.NoticeInterval;
     auto message = notice(FullNoticeAt <= now);
-    Entries.tellChanges(*message.mutable_notice());
-    tellEntries(message);
+    Entries.listChanges(*message.mutable_notice());
+    sendToEntries(message);
     if (FullNoticeAt <= now)
       FullNoticeAt = now + Options.FullNoticeInterval;
-    for (const auto &it : Directory.expire(now, Options.InstanceSilence))
+    for (const auto &it : Directory.expire(now, Options.InstanceTimeout))
       dropInstance(now, it);
     updatePeers();
   }
@@ -81,14 +81,14 @@
     Log.decision(absl::StrCat("event=leadership leads=", Node.isLeader(),
                               " term=", Node.term(),
                               " commit=", Node.commitIndex()));
-    Watch.clear();
+    Detector.clear();
     PingMissedSince.clear();
-    PingSentAt.clear();
-    Replacer->reset();
+    UnansweredPingSentAt.clear();
+    Failover->reset();
   }
   if (Node.canServe()) {
     pingInstances(now);
-    Replacer->tick(now);
+    Failover->tick(now);
   }
   runEffects(now);
 }
@@ -101,7 +101,7 @@
 
 void ControlNode::runEffects(TimePoint now) {
   // NOTE: a call that finishes here may start the next one.
-  if (std::exchange(IsRunning, true))
+  if (std::exchange(IsRunningEffects, true))
     return;
   while (true) {
     auto effects = Node.takeEffects();
@@ -119,7 +119,7 @@
       peer::wire::Message message;
       message.set_consensus(it.Message.SerializeAsString());
       if (!Peers.send(it.Ip, message))
-        Unreached.insert(it.Ip);
+        UnreachableControls.insert(it.Ip);
     }
     if (effects.Restored && !State.restore(effects.Restored->state()))
       Log.decision("event=snapshot_unreadable");
@@ -143,24 +143,24 @@
     }
     finishReads();
     if (effects.Restored || !effects.Committed.empty()) {
-      learnKept(now);
-      takeConfiguration();
+      addKeptInstances(now);
+      updateConfiguration();
     }
     if (Node.wantsSnapshot())
       Node.takeSnapshot(State.appliedIndex(), State.serialize());
   }
-  IsRunning = false;
-  reviewFreshness(now);
+  IsRunningEffects = false;
+  updateFreshness(now);
   // NOTE: after a start, entry VMs serve no client before they receive this
   // notice and the instances that the log kept.
   if (IsNoticeDue && IsFresh) {
     IsNoticeDue = false;
-    tellEntries(notice(true));
-    tellUntold();
+    sendToEntries(notice(true));
+    sendUnsentInstances();
   }
 }
 
-void ControlNode::reviewFreshness(TimePoint now) {
+void ControlNode::updateFreshness(TimePoint now) {
   // NOTE: during the replay of the log the state is an old one.
   const bool isFresh = Node.isFresh(now);
   IsNoticeDue |= isFresh && !IsFresh;
@@ -173,7 +173,7 @@
       " version=", State.configurationVersion()));
 }
 
-void ControlNode::takeConfiguration() {
+void ControlNode::updateConfiguration() {
   const auto version = State.configurationVersion();
   if (!Options.Decode || version == Configurations.newest().Version)
     return;
@@ -229,11 +229,11 @@
     Log.decision(absl::StrCat("event=instance_marked instance=", id.str(),
                               " state=", static_cast<int>(state)));
     if (Directory.raiseState(id, command.mark_instance().born_ms(), state))
-      Untold.insert(id);
+      UnsentInstances.insert(id);
   }
   if (command.has_take_fence())
-    Replacer->fenceTaken(now, command, entry.index());
-  Proposed.remove(command.proposer(), command.number());
+    Failover->fenceCommitted(now, command, entry.index());
+  Uncommitted.remove(command.proposer(), command.number());
   if (command.proposer() == Node.self().number())
     return finishCall(command.number(), true);
   // The member that forwarded the call to this leader waits for its end.
@@ -245,23 +245,23 @@
   // NOTE: a process that isn't a voter yet applies the entry itself.
 }
 
-void ControlNode::tellEntries(const peer::wire::Message &message) {
+void ControlNode::sendToEntries(const peer::wire::Message &message) {
   for (const auto &[ip, hall] : Entries.halls())
     Peers.send(ip, message);
 }
 
-void ControlNode::tellUntold() {
-  if (Untold.empty())
+void ControlNode::sendUnsentInstances() {
+  if (UnsentInstances.empty())
     return;
   peer::wire::Message message;
-  for (const auto &id : std::exchange(Untold, {}))
+  for (const auto &id : std::exchange(UnsentInstances, {}))
     if (const auto *known = Directory.find(id))
       *message.mutable_instances()->add_instances() = peer::encode(*known);
-  for (const auto &ip : Entries.instanceListeners())
+  for (const auto &ip : Entries.instanceSubscribers())
     Peers.send(ip, message);
 }
 
-void ControlNode::tellControls(const peer::wire::Message &message) {
+void ControlNode::sendToControls(const peer::wire::Message &message) {
   for (const auto &it : KnownControls)
     if (it != Options.Ip)
       Peers.send(it, message);
@@ -314,7 +314,7 @@
   // NOTE: only after a failed send: otherwise the other side's connection may
   // have existed all the time, and a copy of what is in flight there would be
   // sent for nothing.
-  if (Unreached.erase(ip) > 0) {
+  if (UnreachableControls.erase(ip) > 0) {
     Node.connectionLost(Now, ip);
     runEffects(Now);
   }
@@ -327,7 +327,7 @@
     return;
   }
   auto message = notice(true);
-  Entries.tellAll(*message.mutable_notice());
+  Entries.listAll(*message.mutable_notice());
   Peers.send(ip, message);
 }
 
@@ -336,7 +336,7 @@
                             std::string(nameIn(peer::LinkEndNames, end))));
   Entries.leave(ip);
   Configurations.forget(ip);
-  LastSights.erase(ip);
+  LastObservations.erase(ip);
   // NOTE: without this, a follower still had no document of 260 KB 50 ms after
   // its connection was back; the resend timeout is 0.4 s, plus 2.1 s for its
   // bytes.
@@ -355,15 +355,15 @@
       Node.receive(Now, inner);
   } else if (message.has_instances()) {
     for (const auto &it : message.instances().instances())
-      learnFromWire(Now, it);
+      updateFromWire(Now, it);
   } else if (message.has_configuration_request()) {
     sendConfiguration(ip, message.configuration_request());
   } else if (message.has_instances_wanted()) {
-    Entries.setWantsInstances(ip, message.instances_wanted().is_wanted());
+    Entries.setSubscribed(ip, message.instances_wanted().is_wanted());
     if (message.instances_wanted().is_wanted())
       Peers.send(ip, allInstances());
   } else if (message.has_sights()) {
-    onSights(ip, message.sights());
+    onObservations(ip, message.sights());
   } else if (message.has_call()) {
     onCall(ip, message.call());
   } else if (message.has_reply()) {
@@ -372,28 +372,28 @@
   runEffects(Now);
 }
 
-void ControlNode::replaceSights(const std::string &ip,
-                                const peer::wire::PrimarySights &sights) {
-  auto &last = LastSights[ip];
+void ControlNode::replaceObservations(const std::string &ip,
+                                      const peer::wire::PrimarySights &sights) {
+  auto &last = LastObservations[ip];
   std::set<std::string> services;
   for (const auto &it : sights.sights())
     services.insert(it.service());
   for (const auto &it : last.sights())
     if (!services.contains(it.service()))
-      Watch.stopped(ip, it.service());
+      Detector.removeObserver(ip, it.service());
   last = sights;
 }
 
-void ControlNode::onSights(const std::string &ip,
-                           const peer::wire::PrimarySights &sights) {
+void ControlNode::onObservations(const std::string &ip,
+                                 const peer::wire::PrimarySights &sights) {
   if (!sights.is_unchanged())
-    replaceSights(ip, sights);
-  for (const auto &it : LastSights[ip].sights()) {
+    replaceObservations(ip, sights);
+  for (const auto &it : LastObservations[ip].sights()) {
     const auto *known = Directory.find(InstanceId(it.instance()));
-    const bool isOtherLife = known && known->BornMs != it.born_ms();
-    if (!isOtherLife)
-      Watch.report(Now, ip, it.service(), InstanceId(it.instance()),
-                   milliseconds(static_cast<std::int64_t>(it.silent_ms())));
+    const bool isOtherIncarnation = known && known->BornMs != it.born_ms();
+    if (!isOtherIncarnation)
+      Detector.report(Now, ip, it.service(), InstanceId(it.instance()),
+                      milliseconds(static_cast<std::int64_t>(it.silent_ms())));
   }
 }
 
--- a/src/control/ControlNode.h
+++ b/src/control/ControlNode.h
@@ -12,8 +12,8 @@
 #include "control/ClusterState.h"
 #include "control/EntryRoster.h"
 #include "control/IPromoter.h"
-#include "control/PrimaryWatch.h"
-#include "control/internal/CallsInLog.h"
+#include "control/PrimaryFailureDetector.h"
+#include "control/internal/UncommittedCalls.h"
 #include "control/types/Configuration.h"
 #include "distribution/ConfigurationSender.h"
 #include "membership/InstanceDirectory.h"
@@ -55,15 +55,15 @@
   /// The addresses of control VMs to contact before the membership is known.
   std::set<std::string> SeedIps;
   /// A call fails after this time, before its caller retries at another VM.
-  Duration CallLimit = milliseconds(850);
+  Duration CallTimeout = milliseconds(850);
   /// The retry interval of a call while no leader is known.
-  Duration CallRetry = milliseconds(60);
+  Duration CallRetryInterval = milliseconds(60);
   /// The retry interval while the leader doesn't answer, in addition to the
   /// time that the call's bytes take at the rate below, which is half of that
   /// of the narrowest links between VMs. Without that addition a document of
   /// 260 KB was sent three times while its commit took 0.7 s.
-  Duration UnansweredCallRetry = milliseconds(300);
-  std::uint64_t LeastBytesPerSecond = 125'000;
+  Duration UnansweredCallRetryInterval = milliseconds(300);
+  std::uint64_t MinBytesPerSecond = 125'000;
   /// The interval of heartbeats to entry VMs.
   Duration NoticeInterval = milliseconds(250);
   /// The interval of full heartbeats, which repeat what was already sent when
@@ -71,34 +71,34 @@
   Duration FullNoticeInterval = milliseconds(2000);
   /// An instance without a heartbeat for this time, which is many heartbeat
   /// intervals, is dropped.
-  Duration InstanceSilence = milliseconds(20000);
+  Duration InstanceTimeout = milliseconds(20000);
   /// How often an unchanged instance is reported to the other control VMs.
-  Duration AliveInterval = milliseconds(4000);
+  Duration AliveReportInterval = milliseconds(4000);
   /// How often the leader pings the primaries.
   Duration PingInterval = milliseconds(250);
   /// How often the leader pings the replicas, only to keep the connections
   /// open.
-  Duration IdlePingInterval = milliseconds(2000);
+  Duration ReplicaPingInterval = milliseconds(2000);
   /// The maximum rate of pings to instances that seem healthy: 50 primaries are
   /// pinged four times a second each. With more of them each is pinged less
   /// often, and the silent ones are found by reports of other VMs and then
   /// pinged at once.
-  double PingsPerSecond = 200;
+  double MaxPingsPerSecond = 200;
   /// With more instances, no connections to replicas are kept open: the leader
   /// would need one to each of thousands, and a new leader would have to open
   /// them all.
-  std::size_t MostKeptWarm = 300;
+  std::size_t MaxInstancesForReplicaPings = 300;
   /// Decodes the operators' document; its service settings are needed here.
   std::function<absl::StatusOr<Configuration>(const std::string &)> Decode;
   /// A random number drawn at each start: the log has calls of an earlier
   /// incarnation of this process, which must not be taken for those of this
   /// one.
-  std::uint64_t FirstCall = 0;
+  std::uint64_t FirstCallNumber = 0;
   /// How often a process that is not a voter asks to become one.
   Duration JoinInterval = milliseconds(500);
 };
 
-class Replacement;
+class FailoverCoordinator;
 
 class ControlNode : public peer::IPeerListener {
 public:
@@ -146,7 +146,7 @@
                 const peer::wire::Message &message) override;
 
 private:
-  friend class Replacement;
+  friend class FailoverCoordinator;
 
   struct PendingCall {
     wire::Command Command;
@@ -158,7 +158,7 @@
     std::string SentToIp;
     std::uint64_t SentInTerm = 0;
     /// For a read: the log index that must be applied first.
-    std::optional<std::uint64_t> Index;
+    std::optional<std::uint64_t> RequiredIndex;
     OnDone Done;
   };
   /// A call that another control VM has forwarded to this leader.
@@ -172,19 +172,19 @@
   void tryCall(TimePoint now, std::uint64_t number, PendingCall &call);
   /// Whether the call's retry time has come, or another VM leads than the one
   /// that it was forwarded to.
-  bool isTryDue(TimePoint now, const PendingCall &call) const;
+  bool isRetryDue(TimePoint now, const PendingCall &call) const;
   /// Appends the call to this leader's log unless it is in there uncommitted.
   void propose(TimePoint now, wire::Command command);
   /// Removes the document from a command that wouldn't change the
   /// configuration.
-  void dropHeldConfiguration(wire::Command &command) const;
+  void dropAppliedConfiguration(wire::Command &command) const;
   void finishCall(std::uint64_t number, bool done);
   void finishReads();
   void onCall(const std::string &ip, const peer::wire::Call &call);
   void onReply(const peer::wire::CallReply &reply);
   void reply(const RemoteCall &call, bool done, std::uint64_t index);
 
-  void takeConfiguration();
+  void updateConfiguration();
   void sendConfiguration(const std::string &ip,
                          const peer::wire::ConfigurationRequest &request);
   /// The number of replicas that must hold a commit of \p service before it is
@@ -193,36 +193,37 @@
   void runEffects(TimePoint now);
   /// Updates whether a majority has confirmed the applied state; if it has just
   /// been confirmed, a notice is due.
-  void reviewFreshness(TimePoint now);
+  void updateFreshness(TimePoint now);
   void apply(TimePoint now, const consensus::wire::Entry &entry);
-  void learn(TimePoint now, const membership::InstanceRecord &record,
-             bool isFromPeer);
+  void updateInstance(TimePoint now, const membership::InstanceRecord &record,
+                      bool isFromPeer);
   /// Proposes a log entry that keeps the known record of the instance, or
   /// removes it.
   void keepInstance(TimePoint now, const InstanceId &id, std::uint64_t bornMs);
   /// Handles an instance whose heartbeats have stopped.
   void dropInstance(TimePoint now, const membership::InstanceRecord &record);
-  /// The same as learn() for a record from another VM or from the log.
-  void learnFromWire(TimePoint now, const peer::wire::Instance &instance);
+  /// The same as updateInstance() for a record from another VM or from the log.
+  void updateFromWire(TimePoint now, const peer::wire::Instance &instance);
   /// Discards the state of an earlier incarnation of a restarted instance.
-  void forgetEarlierLife(TimePoint now,
-                         const membership::InstanceRecord &record);
+  void discardEarlierIncarnation(TimePoint now,
+                                 const membership::InstanceRecord &record);
   /// Adds the instances that are only in the log, as after a restart.
-  void learnKept(TimePoint now);
-  void tellEntries(const peer::wire::Message &message);
+  void addKeptInstances(TimePoint now);
+  void sendToEntries(const peer::wire::Message &message);
   /// Sends the instances that have changed since the last tick to the
   /// subscribed entry VMs, all in one message. Sent one by one, 3,600 instances
   /// and 290 entry VMs cost a control VM a million messages in the ten seconds
   /// of a start.
-  void tellUntold();
-  void tellControls(const peer::wire::Message &message);
+  void sendUnsentInstances();
+  void sendToControls(const peer::wire::Message &message);
   /// A full notice also lists the control VMs and the promotions.
   peer::wire::Message notice(bool isFull) const;
   peer::wire::Message allInstances() const;
   void updatePeers();
-  void replaceSights(const std::string &ip,
-                     const peer::wire::PrimarySights &sights);
-  void onSights(const std::string &ip, const peer::wire::PrimarySights &sights);
+  void replaceObservations(const std::string &ip,
+                           const peer::wire::PrimarySights &sights);
+  void onObservations(const std::string &ip,
+                      const peer::wire::PrimarySights &sights);
   void pingInstances(TimePoint now);
   /// The instances to ping now: all that are suspected, and of the others those
   /// whose last ping is the oldest.
@@ -240,26 +241,26 @@
   /// The newest configuration that could be decoded, for entry VMs.
   distribution::ConfigurationSender Configurations;
   membership::InstanceDirectory Directory;
-  PrimaryWatch Watch{WatchOptions{}};
-  std::unique_ptr<Replacement> Replacer;
+  PrimaryFailureDetector Detector{FailureDetectorOptions{}};
+  std::unique_ptr<FailoverCoordinator> Failover;
 
   EntryRoster Entries;
   /// The last observations of primaries that each entry VM reported.
-  std::map<std::string, peer::wire::PrimarySights> LastSights;
+  std::map<std::string, peer::wire::PrimarySights> LastObservations;
   std::set<std::string> KnownControls;
   /// Control VMs that a message couldn't be sent to for lack of a connection.
-  std::set<std::string> Unreached;
+  std::set<std::string> UnreachableControls;
   std::map<std::uint64_t, PendingCall> Calls;
   std::map<std::uint64_t, RemoteCall> RemoteReads;
-  CallsInLog Proposed;
-  std::uint64_t LastCall = 0;
+  UncommittedCalls Uncommitted;
+  std::uint64_t LastCallNumber = 0;
   LineBudget UnreadableLines;
-  std::map<InstanceId, TimePoint> ToldAlive;
+  std::map<InstanceId, TimePoint> AliveReportedAt;
   /// Instances that have changed since they were last sent to entry VMs.
-  std::set<InstanceId> Untold;
-  std::map<InstanceId, TimePoint> PingSentAt;
+  std::set<InstanceId> UnsentInstances;
+  std::map<InstanceId, TimePoint> UnansweredPingSentAt;
   std::map<InstanceId, TimePoint> PingMissedSince;
-  std::map<InstanceId, TimePoint> PingedAt;
+  std::map<InstanceId, TimePoint> LastPingAt;
   TimePoint NoticeAt{};
   TimePoint FullNoticeAt{};
   TimePoint JoinAt{};
@@ -270,7 +271,7 @@
   /// The state was fresh at least once since the start.
   bool HasBeenFresh = false;
   bool WasLeader = false;
-  bool IsRunning = false;
+  bool IsRunningEffects = false;
 };
 
 } // namespace stepledge::control
--- a/src/control/EntryRoster.cpp
+++ b/src/control/EntryRoster.cpp
@@ -18,36 +18,36 @@
 void EntryRoster::join(const std::string &ip, const std::string &hall) {
   Halls[ip] = hall;
   // NOTE: an entry VM subscribes again on each connection.
-  InstanceListeners.erase(ip);
+  InstanceSubscribers.erase(ip);
 }
 
 void EntryRoster::leave(const std::string &ip) {
   Halls.erase(ip);
-  InstanceListeners.erase(ip);
+  InstanceSubscribers.erase(ip);
 }
 
-void EntryRoster::setWantsInstances(const std::string &ip, bool isWanted) {
+void EntryRoster::setSubscribed(const std::string &ip, bool isWanted) {
   if (isWanted && Halls.contains(ip))
-    InstanceListeners.insert(ip);
+    InstanceSubscribers.insert(ip);
   else
-    InstanceListeners.erase(ip);
+    InstanceSubscribers.erase(ip);
 }
 
-void EntryRoster::tellAll(peer::wire::Notice &notice) const {
+void EntryRoster::listAll(peer::wire::Notice &notice) const {
   for (const auto &[ip, hall] : Halls)
     describe(ip, hall, *notice.add_entries());
 }
 
-void EntryRoster::tellChanges(peer::wire::Notice &notice) {
+void EntryRoster::listChanges(peer::wire::Notice &notice) {
   for (const auto &[ip, hall] : Halls) {
-    const auto known = Told.find(ip);
-    if (known == Told.end() || known->second != hall)
+    const auto known = LastListed.find(ip);
+    if (known == LastListed.end() || known->second != hall)
       describe(ip, hall, *notice.add_entries_joined());
   }
-  for (const auto &[ip, hall] : Told)
+  for (const auto &[ip, hall] : LastListed)
     if (!Halls.contains(ip))
       notice.add_entries_left(ip);
-  Told = Halls;
+  LastListed = Halls;
 }
 
 } // namespace stepledge::control
--- a/src/control/EntryRoster.h
+++ b/src/control/EntryRoster.h
@@ -24,23 +24,23 @@
 
   /// Starts or ends the subscription of \p ip to the instances, which lasts as
   /// long as its connection.
-  void setWantsInstances(const std::string &ip, bool isWanted);
-  const std::set<std::string> &instanceListeners() const {
-    return InstanceListeners;
+  void setSubscribed(const std::string &ip, bool isWanted);
+  const std::set<std::string> &instanceSubscribers() const {
+    return InstanceSubscribers;
   }
 
   /// Lists all entry VMs, for one that has just connected.
-  void tellAll(peer::wire::Notice &notice) const;
+  void listAll(peer::wire::Notice &notice) const;
   /// Lists those that joined or left since the last call, for all the others.
   /// Listing all VMs every two seconds made up half of the traffic between
   /// halls of 70 idle entry VMs: 20 MB in 52 s instead of 10 MB.
-  void tellChanges(peer::wire::Notice &notice);
+  void listChanges(peer::wire::Notice &notice);
 
 private:
   std::map<std::string, std::string> Halls;
-  std::set<std::string> InstanceListeners;
-  /// The entry VMs as of the last call of tellChanges().
-  std::map<std::string, std::string> Told;
+  std::set<std::string> InstanceSubscribers;
+  /// The entry VMs as of the last call of listChanges().
+  std::map<std::string, std::string> LastListed;
 };
 
 } // namespace stepledge::control
--- a/src/control/PrimaryWatch.h
+++ b/src/control/PrimaryFailureDetector.h
@@ -3,8 +3,8 @@
 
 /// \file Detects the failure of a primary from the reports of several VMs.
 
-#ifndef STEPLEDGE_CONTROL_PRIMARYWATCH_H
-#define STEPLEDGE_CONTROL_PRIMARYWATCH_H
+#ifndef STEPLEDGE_CONTROL_PRIMARYFAILUREDETECTOR_H
+#define STEPLEDGE_CONTROL_PRIMARYFAILUREDETECTOR_H
 
 #include "base/types/Ids.h"
 #include "base/types/Time.h"
@@ -14,28 +14,29 @@
 
 namespace stepledge::control {
 
-struct WatchOptions {
+struct FailureDetectorOptions {
   /// Silence that a VM reports counts from this duration on: above the answer
   /// time of an instance whose queue is full.
   Duration SilenceLimit = milliseconds(600);
   /// How long a VM's report is valid.
-  Duration ReportLifetime = milliseconds(1500);
+  Duration ReportValidity = milliseconds(1500);
   /// VMs that reported on the service within this time count as its observers;
   /// those of them that no longer report may be partitioned from this VM
   /// together with a primary that they still reach.
-  Duration KnownLifetime = milliseconds(20000);
+  Duration ObserverLifetime = milliseconds(20000);
   /// The primary is lost if more than this share of the observers miss it.
-  double LostShare = 0.5;
+  double FailureShare = 0.5;
   /// After this much silence, the observers that still report are enough if all
   /// of them miss the primary: a partition that lasts so long is not transient.
   Duration LongSilence = milliseconds(8000);
   /// A service's primary isn't replaced again within this time.
-  Duration RestAfter = milliseconds(1500);
+  Duration FailoverCooldown = milliseconds(1500);
 };
 
-class PrimaryWatch {
+class PrimaryFailureDetector {
 public:
-  explicit PrimaryWatch(WatchOptions options) : Options(options) {}
+  explicit PrimaryFailureDetector(FailureDetectorOptions options)
+      : Options(options) {}
 
   /// Records for how long the requests of \p observer to \p primary have been
   /// unanswered.
@@ -43,13 +44,13 @@
               const std::string &service, const InstanceId &primary,
               Duration silentFor);
   /// The observer no longer monitors the service.
-  void stopped(const std::string &observer, const std::string &service);
-  void noteReplaced(TimePoint now, const std::string &service);
+  void removeObserver(const std::string &observer, const std::string &service);
+  void noteFailover(TimePoint now, const std::string &service);
   /// Drops the reports on an earlier incarnation of \p primary.
-  void forget(const std::string &service, const InstanceId &primary);
+  void dropReports(const std::string &service, const InstanceId &primary);
   /// Whether any VM reports that \p primary is silent.
-  bool isMissed(TimePoint now, const std::string &service,
-                const InstanceId &primary) const;
+  bool isSuspected(TimePoint now, const std::string &service,
+                   const InstanceId &primary) const;
   /// Whether enough of the VMs that report on \p primary find it silent.
   bool isLost(TimePoint now, const std::string &service,
               const InstanceId &primary) const;
@@ -63,13 +64,13 @@
   };
   struct Service {
     std::map<std::string, Report> Reports;
-    TimePoint ReplacedAt{};
+    TimePoint LastFailoverAt{};
   };
 
-  WatchOptions Options;
+  FailureDetectorOptions Options;
   std::map<std::string, Service> Services;
 };
 
 } // namespace stepledge::control
 
-#endif // STEPLEDGE_CONTROL_PRIMARYWATCH_H
+#endif // STEPLEDGE_CONTROL_PRIMARYFAILUREDETECTOR_H
--- a/src/control/internal/Calls.cpp
+++ b/src/control/internal/Calls.cpp
@@ -12,13 +12,13 @@
 
 std::uint64_t ControlNode::startCall(TimePoint now, wire::Command command,
                                      bool isRead, OnDone onDone) {
-  const std::uint64_t number = ++LastCall;
+  const std::uint64_t number = ++LastCallNumber;
   auto &call = Calls[number];
   call.Command = std::move(command);
   call.Command.set_proposer(Node.self().number());
   call.Command.set_number(number);
   call.IsRead = isRead;
-  call.Deadline = now + Options.CallLimit;
+  call.Deadline = now + Options.CallTimeout;
   call.Done = std::move(onDone);
   tryCall(now, number, call);
   runEffects(now);
@@ -27,7 +27,7 @@
 
 void ControlNode::tryCall(TimePoint now, std::uint64_t number,
                           PendingCall &call) {
-  call.RetryAt = now + Options.CallRetry;
+  call.RetryAt = now + Options.CallRetryInterval;
   call.SentToIp.clear();
   if (Node.canServe()) {
     if (call.IsRead)
@@ -46,49 +46,49 @@
   out.set_number(number);
   out.set_is_read(call.IsRead);
   if (!call.IsRead) {
-    dropHeldConfiguration(call.Command);
+    dropAppliedConfiguration(call.Command);
     out.set_command(call.Command.SerializeAsString());
   }
   if (!Peers.send(leader->ip(), message))
     return;
   constexpr std::uint64_t MillisecondsInSecond = 1000;
   const std::uint64_t bytesMs =
-      out.command().size() * MillisecondsInSecond / Options.LeastBytesPerSecond;
-  call.RetryAt = now + Options.UnansweredCallRetry +
+      out.command().size() * MillisecondsInSecond / Options.MinBytesPerSecond;
+  call.RetryAt = now + Options.UnansweredCallRetryInterval +
                  milliseconds(static_cast<std::int64_t>(bytesMs));
   call.SentToIp = leader->ip();
   call.SentInTerm = Node.term();
 }
 
-bool ControlNode::isTryDue(TimePoint now, const PendingCall &call) const {
-  if (call.Index)
+bool ControlNode::isRetryDue(TimePoint now, const PendingCall &call) const {
+  if (call.RequiredIndex)
     return false;
   // NOTE: entries that a former leader appended may be gone from the log.
-  const bool leadsAnother =
+  const bool hasLeaderChanged =
       !call.SentToIp.empty() && call.SentInTerm != Node.term() && Node.leader();
-  return now >= call.RetryAt || leadsAnother;
+  return now >= call.RetryAt || hasLeaderChanged;
 }
 
 void ControlNode::propose(TimePoint now, wire::Command command) {
   // NOTE: other VMs retry a call every 300 ms until it is answered. With a
   // document of 260 KB and disks that stalled for 0.7 s, three copies were
   // synced and sent to all followers.
-  if (!Proposed.add(Node.term(), command.proposer(), command.number()))
+  if (!Uncommitted.add(Node.term(), command.proposer(), command.number()))
     return;
-  dropHeldConfiguration(command);
+  dropAppliedConfiguration(command);
   Node.propose(now, command.SerializeAsString());
 }
 
-void ControlNode::dropHeldConfiguration(wire::Command &command) const {
+void ControlNode::dropAppliedConfiguration(wire::Command &command) const {
   // NOTE: an applied document is committed, so every leader's log has it below
   // the entry that this becomes, where it would take no effect. The entry
   // itself is needed: its commit shows that the leader still leads. Operators
   // send a document to each VM until one acknowledges it; three such repeats of
   // 260 KB each were in the log in full.
-  const bool isHeld =
+  const bool isApplied =
       command.has_put_configuration() &&
       command.put_configuration().version() <= State.configurationVersion();
-  if (isHeld)
+  if (isApplied)
     command.clear_body();
 }
 
@@ -104,7 +104,7 @@
 void ControlNode::finishReads() {
   std::vector<std::uint64_t> reached;
   for (const auto &[number, it] : Calls)
-    if (it.Index && State.appliedIndex() >= *it.Index)
+    if (it.RequiredIndex && State.appliedIndex() >= *it.RequiredIndex)
       reached.push_back(number);
   for (const auto it : reached)
     finishCall(it, true);
@@ -116,7 +116,7 @@
   if (call.is_read()) {
     // NOTE: the numbers of remote reads must not collide with those of own
     // calls.
-    const std::uint64_t number = ++LastCall;
+    const std::uint64_t number = ++LastCallNumber;
     RemoteReads[number] = {ip, call.number()};
     Node.requestRead(Now, number);
     return;
@@ -142,12 +142,12 @@
   if (it == Calls.end())
     return;
   if (!reply.done()) {
-    it->second.RetryAt = Now + Options.CallRetry;
+    it->second.RetryAt = Now + Options.CallRetryInterval;
     return;
   }
   if (!it->second.IsRead)
     return finishCall(reply.number(), true);
-  it->second.Index = reply.index();
+  it->second.RequiredIndex = reply.index();
   finishReads();
 }
 
--- a/src/control/internal/Instances.cpp
+++ b/src/control/internal/Instances.cpp
@@ -6,7 +6,7 @@
 
 #include "control/ControlNode.h"
 
-#include "control/internal/Replacement.h"
+#include "control/internal/FailoverCoordinator.h"
 #include "peer/InstanceCodec.h"
 
 #include "absl/strings/escaping.h"
@@ -28,7 +28,7 @@
     return onDone(true);
   const auto lifecycle = State.lifecycleOf(record.Id.str(), record.BornMs);
   record.State = std::max(record.State, static_cast<InstanceState>(lifecycle));
-  learn(now, record, false);
+  updateInstance(now, record, false);
   const bool isMarked = lifecycle != wire::READY;
   if (record.State == InstanceState::Ready || isMarked)
     return onDone(true);
@@ -63,8 +63,9 @@
   startCall(now, std::move(command), false, std::move(onDone));
 }
 
-void ControlNode::learn(TimePoint now, const membership::InstanceRecord &record,
-                        bool isFromPeer) {
+void ControlNode::updateInstance(TimePoint now,
+                                 const membership::InstanceRecord &record,
+                                 bool isFromPeer) {
   auto known = record;
   const auto lifecycle = State.lifecycleOf(known.Id.str(), known.BornMs);
   known.State = std::max(known.State, static_cast<InstanceState>(lifecycle));
@@ -72,27 +73,28 @@
   if (change == Change::None)
     return;
   if (change == Change::Restarted)
-    forgetEarlierLife(now, record);
+    discardEarlierIncarnation(now, record);
   const bool isChanged = change != Change::Alive;
   if (isChanged)
-    Untold.insert(record.Id);
-  auto &told = ToldAlive[record.Id];
-  const bool isDue = isChanged || now - told > Options.AliveInterval;
+    UnsentInstances.insert(record.Id);
+  auto &reportedAt = AliveReportedAt[record.Id];
+  const bool isDue =
+      isChanged || now - reportedAt > Options.AliveReportInterval;
   if (isFromPeer || !isDue)
     return;
-  told = now;
+  reportedAt = now;
   peer::wire::Message message;
   *message.mutable_instances()->add_instances() =
       peer::encode(*Directory.find(record.Id));
-  tellControls(message);
+  sendToControls(message);
   if (isChanged)
     keepInstance(now, record.Id, bornOf(record.Id));
 }
 
-void ControlNode::learnFromWire(TimePoint now,
-                                const peer::wire::Instance &instance) {
+void ControlNode::updateFromWire(TimePoint now,
+                                 const peer::wire::Instance &instance) {
   if (const auto record = peer::decode(instance))
-    return learn(now, *record, true);
+    return updateInstance(now, *record, true);
   if (const auto leftOut = UnreadableLines.take(now))
     Log.decision(absl::StrCat("event=instance_unreadable instance=",
                               absl::CHexEscape(instance.id().substr(0, 64)),
@@ -100,17 +102,17 @@
                               " left_out=", *leftOut));
 }
 
-void ControlNode::forgetEarlierLife(TimePoint now,
-                                    const membership::InstanceRecord &record) {
+void ControlNode::discardEarlierIncarnation(
+    TimePoint now, const membership::InstanceRecord &record) {
   Log.decision(
       absl::StrCat("event=instance_restarted instance=", record.Id.str(),
                    " service=", record.Service, " born_ms=", record.BornMs));
-  PingSentAt.erase(record.Id);
+  UnansweredPingSentAt.erase(record.Id);
   PingMissedSince.erase(record.Id);
-  PingedAt.erase(record.Id);
-  Watch.forget(record.Service, record.Id);
+  LastPingAt.erase(record.Id);
+  Detector.dropReports(record.Service, record.Id);
   Probe.forget(record.Id);
-  Replacer->instanceRestarted(now, record);
+  Failover->instanceRestarted(now, record);
 }
 
 void ControlNode::keepInstance(TimePoint now, const InstanceId &id,
@@ -127,14 +129,14 @@
 
 void ControlNode::dropInstance(TimePoint now,
                                const membership::InstanceRecord &record) {
-  ToldAlive.erase(record.Id);
-  PingedAt.erase(record.Id);
+  AliveReportedAt.erase(record.Id);
+  LastPingAt.erase(record.Id);
   PingMissedSince.erase(record.Id);
   if (Node.canServe())
     keepInstance(now, record.Id, record.BornMs);
 }
 
-void ControlNode::learnKept(TimePoint now) {
+void ControlNode::addKeptInstances(TimePoint now) {
   for (const auto &[id, it] : State.instances()) {
     const auto *known = Directory.find(InstanceId(id));
     peer::wire::Instance instance;
@@ -142,33 +144,34 @@
       continue;
     // NOTE: if parsing fails, the default instance is logged as unreadable.
     (void)instance.ParseFromString(it.record());
-    learnFromWire(now, instance);
+    updateFromWire(now, instance);
   }
 }
 
 std::vector<InstanceId> ControlNode::findPingsDue(TimePoint now) {
   std::vector<std::pair<TimePoint, InstanceId>> due;
   std::vector<InstanceId> suspects;
-  const bool keepsReplicas = Directory.size() <= Options.MostKeptWarm;
+  const bool keepsReplicas =
+      Directory.size() <= Options.MaxInstancesForReplicaPings;
   Directory.forEach([&](const membership::InstanceRecord &it) {
     const bool isPrimary = it.Role == InstanceRole::Primary;
     const bool isWanted = isPrimary || keepsReplicas;
     if (it.State == InstanceState::Gone || !isWanted ||
-        PingSentAt.contains(it.Id))
+        UnansweredPingSentAt.contains(it.Id))
       return;
     const bool isSuspect = PingMissedSince.contains(it.Id) ||
-                           Watch.isMissed(now, it.Service, it.Id);
+                           Detector.isSuspected(now, it.Service, it.Id);
     if (isSuspect)
       return suspects.push_back(it.Id);
     const Duration interval =
-        isPrimary ? Options.PingInterval : Options.IdlePingInterval;
+        isPrimary ? Options.PingInterval : Options.ReplicaPingInterval;
     // NOTE: half an interval early rather than a whole one late.
-    if (now - PingedAt[it.Id] >= interval - Options.PingInterval / 2)
-      due.emplace_back(PingedAt[it.Id], it.Id);
+    if (now - LastPingAt[it.Id] >= interval - Options.PingInterval / 2)
+      due.emplace_back(LastPingAt[it.Id], it.Id);
   });
   const std::chrono::duration<double> interval = Options.PingInterval;
   const auto most =
-      std::min(due.size(), static_cast<std::size_t>(Options.PingsPerSecond *
+      std::min(due.size(), static_cast<std::size_t>(Options.MaxPingsPerSecond *
                                                     interval.count()));
   std::partial_sort(due.begin(),
                     due.begin() + static_cast<std::ptrdiff_t>(most), due.end());
@@ -182,9 +185,9 @@
     if (it.Role != InstanceRole::Primary || it.State == InstanceState::Gone)
       return;
     const auto missed = PingMissedSince.find(it.Id);
-    Watch.report(now, Options.Ip, it.Service, it.Id,
-                 missed == PingMissedSince.end() ? Duration{}
-                                                 : now - missed->second);
+    Detector.report(now, Options.Ip, it.Service, it.Id,
+                    missed == PingMissedSince.end() ? Duration{}
+                                                    : now - missed->second);
   });
 }
 
@@ -194,10 +197,10 @@
   PingAt = now + Options.PingInterval;
   reportPings(now);
   for (const auto &id : findPingsDue(now)) {
-    PingSentAt[id] = now;
-    PingedAt[id] = now;
+    UnansweredPingSentAt[id] = now;
+    LastPingAt[id] = now;
     Probe.ping(*Directory.find(id), [this, id](bool isAlive) {
-      const auto sent = PingSentAt.extract(id);
+      const auto sent = UnansweredPingSentAt.extract(id);
       if (isAlive)
         PingMissedSince.erase(id);
       else if (!sent.empty())
--- a/src/control/internal/CallsInLog.h
+++ b/src/control/internal/UncommittedCalls.h
@@ -4,8 +4,8 @@
 /// \file The calls that a leader has appended to its log and that aren't
 /// committed yet.
 
-#ifndef STEPLEDGE_CONTROL_INTERNAL_CALLSINLOG_H
-#define STEPLEDGE_CONTROL_INTERNAL_CALLSINLOG_H
+#ifndef STEPLEDGE_CONTROL_INTERNAL_UNCOMMITTEDCALLS_H
+#define STEPLEDGE_CONTROL_INTERNAL_UNCOMMITTEDCALLS_H
 
 #include <cstdint>
 #include <set>
@@ -13,7 +13,7 @@
 
 namespace stepledge::control {
 
-class CallsInLog {
+class UncommittedCalls {
 public:
   /// Records the call, and returns whether it is new in \p term, in which the
   /// caller leads. Calls of an earlier term are dropped, since the log may have
@@ -35,4 +35,4 @@
 
 } // namespace stepledge::control
 
-#endif // STEPLEDGE_CONTROL_INTERNAL_CALLSINLOG_H
+#endif // STEPLEDGE_CONTROL_INTERNAL_UNCOMMITTEDCALLS_H
--- a/src/control/tests/ControlNodeTest.cpp
+++ b/src/control/tests/ControlNodeTest.cpp
@@ -52,7 +52,7 @@
   return record;
 }
 
-void sayAll(FakeControls &group, std::uint64_t sequence) {
+void sendHeartbeats(FakeControls &group, std::uint64_t sequence) {
   for (const auto &[id, isPrimary] :
        {std::pair("p", true), std::pair("r1", false), std::pair("r2", false)})
     group.node(group.leader())
@@ -62,8 +62,8 @@
 }
 
 /// An entry VM reports to the leader how long the primary has been silent.
-void reportSight(FakeControls &group, const std::string &entryIp,
-                 std::uint64_t silentMs) {
+void reportObservation(FakeControls &group, const std::string &entryIp,
+                       std::uint64_t silentMs) {
   peer::wire::Message message;
   auto &sight = *message.mutable_sights()->add_sights();
   sight.set_service("db");
@@ -74,7 +74,7 @@
 }
 
 /// An entry VM reports to the leader that its observations are unchanged.
-void repeatSight(FakeControls &group, const std::string &entryIp) {
+void repeatObservations(FakeControls &group, const std::string &entryIp) {
   peer::wire::Message message;
   message.mutable_sights()->set_is_unchanged(true);
   group.node(group.leader()).setTime(group.now());
@@ -106,7 +106,7 @@
   group.run(milliseconds(1500));
   CHECK(put(group, 0, 1, "one") == true);
   const std::size_t old = group.leader();
-  group.cutOff(old);
+  group.isolate(old);
   group.run(milliseconds(2500));
   CHECK(put(group, old, 2, "two") == false);
   CHECK(!read(group, old));
@@ -146,7 +146,7 @@
 TEST_CASE("Control_LeavingIsNotForgotten") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   auto leaving = instanceOf("r1", false, 2);
   leaving.State = membership::InstanceState::Leaving;
   std::optional<bool> done;
@@ -178,7 +178,7 @@
 TEST_CASE("Control_RestartedGroupKnowsItsInstances") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   for (std::size_t vm = 0; vm < 3; ++vm)
     group.kill(vm);
   for (std::size_t vm = 0; vm < 3; ++vm)
@@ -198,15 +198,15 @@
 TEST_CASE("Control_LostPrimaryIsReplacedByTheFurthestReplica") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Statuses[InstanceId("r1")] = {
       membership::InstanceRole::Replica, {{3}, {100}}, {3}};
   group.Platform.Statuses[InstanceId("r2")] = {
       membership::InstanceRole::Replica, {{3}, {140}}, {3}};
   group.Platform.Silent.insert(InstanceId("p"));
   for (int i = 0; i < 15; ++i) {
-    reportSight(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
-    reportSight(group, "10.5.0.2", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.2", static_cast<std::uint64_t>(i) * 100);
     group.run(milliseconds(100));
   }
   REQUIRE(!group.Platform.Orders.empty());
@@ -218,7 +218,7 @@
   FakeControls group;
   group.run(milliseconds(1500));
   const auto vm = group.leader();
-  const auto heard = [&](const std::string &ip) {
+  const auto received = [&](const std::string &ip) {
     int n = 0;
     for (const auto &message : std::exchange(group.sentTo(ip), {}))
       n += message.instances().instances_size();
@@ -230,25 +230,25 @@
     group.connectFromOutside(ip, vm, hello);
   }
   group.wantInstances("10.5.0.1", vm, true);
-  sayAll(group, 1);
-  CHECK(heard("10.5.0.1") == 3);
-  CHECK(heard("10.5.0.2") == 0);
+  sendHeartbeats(group, 1);
+  CHECK(received("10.5.0.1") == 3);
+  CHECK(received("10.5.0.2") == 0);
   // A later subscriber receives all of them.
   group.wantInstances("10.5.0.2", vm, true);
-  CHECK(heard("10.5.0.2") == 3);
+  CHECK(received("10.5.0.2") == 3);
   group.wantInstances("10.5.0.1", vm, false);
   group.node(vm).instanceSaid(group.now(), instanceOf("r1", true, 2),
                               [](bool) {});
   group.run(milliseconds(300));
-  CHECK(heard("10.5.0.1") == 0);
-  CHECK(heard("10.5.0.2") == 1);
+  CHECK(received("10.5.0.1") == 0);
+  CHECK(received("10.5.0.2") == 1);
   // A new connection has no subscription yet.
   group.loseFromOutside("10.5.0.2", vm);
   group.connectFromOutside("10.5.0.2", vm, hello);
   group.node(vm).instanceSaid(group.now(), instanceOf("r1", false, 3),
                               [](bool) {});
   group.run(milliseconds(300));
-  CHECK(heard("10.5.0.2") == 0);
+  CHECK(received("10.5.0.2") == 0);
 }
 
 TEST_CASE("Control_ManyInstancesAreToldInFewMessages") {
@@ -305,21 +305,21 @@
 TEST_CASE("Control_PrimaryIsLostByThoseThatWatchItsService") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Statuses[InstanceId("r1")] = {
       membership::InstanceRole::Replica, {{3}, {100}}, {3}};
   // Many VMs have monitored the service and no longer do.
   for (int i = 10; i < 20; ++i) {
     const std::string ip = "10.5.1." + std::to_string(i);
-    reportSight(group, ip, 0);
+    reportObservation(group, ip, 0);
     peer::wire::Message none;
     none.mutable_sights();
     group.node(group.leader()).peerSaid(ip, none);
   }
   group.Platform.Silent.insert(InstanceId("p"));
   for (int i = 0; i < 15; ++i) {
-    reportSight(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
-    reportSight(group, "10.5.0.2", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.2", static_cast<std::uint64_t>(i) * 100);
     group.run(milliseconds(100));
   }
   CHECK_FALSE(group.Platform.Orders.empty());
@@ -328,12 +328,12 @@
 TEST_CASE("Control_PrimaryThatMostVmsReachIsLeftAlone") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Silent.insert(InstanceId("p"));
   for (int i = 0; i < 20; ++i) {
-    reportSight(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
-    reportSight(group, "10.5.0.2", 0);
-    reportSight(group, "10.5.0.3", 0);
+    reportObservation(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.2", 0);
+    reportObservation(group, "10.5.0.3", 0);
     group.run(milliseconds(100));
   }
   CHECK(group.Platform.Orders.empty());
@@ -342,14 +342,14 @@
 TEST_CASE("Control_UnchangedReportsCountAsTheLastOnes") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Silent.insert(InstanceId("p"));
-  reportSight(group, "10.5.0.2", 0);
-  reportSight(group, "10.5.0.3", 0);
+  reportObservation(group, "10.5.0.2", 0);
+  reportObservation(group, "10.5.0.3", 0);
   for (int i = 0; i < 30; ++i) {
-    reportSight(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
-    repeatSight(group, "10.5.0.2");
-    repeatSight(group, "10.5.0.3");
+    reportObservation(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
+    repeatObservations(group, "10.5.0.2");
+    repeatObservations(group, "10.5.0.3");
     group.run(milliseconds(100));
   }
   CHECK(group.Platform.Orders.empty());
@@ -358,9 +358,9 @@
 TEST_CASE("Control_PrimaryOnTheOtherSideOfACutIsLeftAlone") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   const auto report = [&group](const char *ip, std::uint64_t silentMs) {
-    reportSight(group, std::string("10.5.0.") + ip, silentMs);
+    reportObservation(group, std::string("10.5.0.") + ip, silentMs);
   };
   for (const char *ip : {"1", "2", "3", "4", "5", "6"})
     report(ip, 0);
@@ -388,24 +388,24 @@
   FakeControls group;
   group.run(milliseconds(1500));
   CHECK(put(group, 0, 1, "sync") == true);
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Statuses[InstanceId("r1")] = {
       membership::InstanceRole::Replica, {{3}, {100}}, {3}};
   group.Platform.Silent.insert(InstanceId("p"));
-  const auto miss = [&group] {
+  const auto reportSilence = [&group] {
     for (int i = 0; i < 20; ++i) {
-      reportSight(group, "10.5.0.1", 900);
-      reportSight(group, "10.5.0.2", 900);
+      reportObservation(group, "10.5.0.1", 900);
+      reportObservation(group, "10.5.0.2", 900);
       group.run(milliseconds(100));
     }
   };
   // A single replica may lack a commit that the other one let be acknowledged.
-  miss();
+  reportSilence();
   CHECK(group.Platform.Orders.empty());
   CHECK(group.Platform.Paused.empty());
   group.Platform.Statuses[InstanceId("r2")] = {
       membership::InstanceRole::Replica, {{3}, {120}}, {3}};
-  miss();
+  reportSilence();
   REQUIRE(!group.Platform.Orders.empty());
   CHECK(group.Platform.Orders.front().Instance == InstanceId("r2"));
 }
@@ -413,17 +413,17 @@
 TEST_CASE("Control_FencesRiseOverLeaders") {
   FakeControls group;
   group.run(milliseconds(1500));
-  group.Platform.Answers = false;
+  group.Platform.AnswersOrders = false;
   std::uint64_t last = 0;
   for (int round = 0; round < 3; ++round) {
-    sayAll(group, static_cast<std::uint64_t>(round) + 1);
+    sendHeartbeats(group, static_cast<std::uint64_t>(round) + 1);
     group.Platform.Statuses[InstanceId("r1")] = {
         membership::InstanceRole::Replica, {{3}, {100}}, {3}};
     group.Platform.Silent.insert(InstanceId("p"));
     group.Platform.Orders.clear();
     for (int i = 0; i < 25; ++i) {
-      reportSight(group, "10.5.0.1", 900);
-      reportSight(group, "10.5.0.2", 900);
+      reportObservation(group, "10.5.0.1", 900);
+      reportObservation(group, "10.5.0.2", 900);
       group.run(milliseconds(100));
     }
     REQUIRE(!group.Platform.Orders.empty());
--- a/src/control/tests/EntryRosterTest.cpp
+++ b/src/control/tests/EntryRosterTest.cpp
@@ -34,14 +34,14 @@
   roster.join("10.1.0.1", "a");
   roster.join("10.1.0.2", "b");
   peer::wire::Notice first;
-  roster.tellChanges(first);
+  roster.listChanges(first);
   CHECK(first.entries_joined_size() == 2);
   peer::wire::Notice second;
-  roster.tellChanges(second);
+  roster.listChanges(second);
   CHECK(second.ByteSizeLong() == 0);
   roster.leave("10.1.0.1");
   peer::wire::Notice third;
-  roster.tellChanges(third);
+  roster.listChanges(third);
   REQUIRE(third.entries_left_size() == 1);
   CHECK(third.entries_left(0) == "10.1.0.1");
   CHECK(third.entries_joined_size() == 0);
@@ -51,11 +51,11 @@
   EntryRoster roster;
   roster.join("10.1.0.1", "a");
   peer::wire::Notice first;
-  roster.tellChanges(first);
+  roster.listChanges(first);
   roster.leave("10.1.0.1");
   roster.join("10.1.0.1", "a");
   peer::wire::Notice second;
-  roster.tellChanges(second);
+  roster.listChanges(second);
   CHECK(second.ByteSizeLong() == 0);
 }
 
--- a/src/control/tests/FakeControls.cpp
+++ b/src/control/tests/FakeControls.cpp
@@ -20,7 +20,7 @@
   return member;
 }
 
-absl::StatusOr<Configuration> decodeAlike(const std::string &document) {
+absl::StatusOr<Configuration> decodeTestDocument(const std::string &document) {
   Configuration configuration;
   configuration.Version = 1;
   configuration.Services["db"].SyncReplicas =
@@ -31,7 +31,8 @@
 } // namespace
 
 FakeControls::FakeControls(Decode decode)
-    : DecodeDocument(decode ? std::move(decode) : decodeAlike), Vms(Size) {
+    : DecodeDocument(decode ? std::move(decode) : decodeTestDocument),
+      Vms(Size) {
   for (std::size_t i = 0; i < Size; ++i) {
     Vms[i].Group = this;
     Vms[i].Number = i;
@@ -58,14 +59,14 @@
       state.Entries.pop_back();
     state.Entries.push_back(record.entry());
   }
-  ++it.Life;
+  ++it.Incarnation;
   it.Consensus = std::make_unique<consensus::ConsensusNode>(
       memberOf(vm, ipOf(vm)), consensus::ConsensusOptions(), std::move(state),
-      vm + it.Life * 10, Now);
+      vm + it.Incarnation * 10, Now);
   ControlOptions options;
   options.NodeName = "control-" + std::to_string(vm);
   options.Ip = ipOf(vm);
-  options.FirstCall = it.Life * 1000;
+  options.FirstCallNumber = it.Incarnation * 1000;
   options.Decode = DecodeDocument;
   it.Node = std::make_unique<ControlNode>(options, *it.Consensus, it, it,
                                           Platform, Platform, it);
@@ -74,7 +75,7 @@
 void FakeControls::kill(std::size_t vm) {
   Vms[vm].Node.reset();
   Vms[vm].Consensus.reset();
-  Vms[vm].Written.clear();
+  Vms[vm].WrittenTickets.clear();
 }
 
 std::size_t FakeControls::leader() const {
@@ -92,13 +93,13 @@
       if (!it.Node)
         continue;
       if (Now >= DisksStalledUntil)
-        for (const auto ticket : std::exchange(it.Written, {}))
+        for (const auto ticket : std::exchange(it.WrittenTickets, {}))
           it.Node->persisted(Now, ticket);
       it.Node->tick(Now);
     }
     for (auto &it : std::exchange(Packets, {})) {
       auto &to = Vms[it.To];
-      if (!to.Node || Cut.contains(it.From) || Cut.contains(it.To))
+      if (!to.Node || Isolated.contains(it.From) || Isolated.contains(it.To))
         continue;
       to.Node->setTime(Now);
       to.Node->peerSaid(ipOf(it.From), it.Message);
@@ -112,13 +113,13 @@
     EntryBytes += it.entry().command().size();
     Disk.push_back(std::move(it));
   }
-  Written.push_back(ticket);
+  WrittenTickets.push_back(ticket);
 }
 
 void FakeControls::Vm::rewrite(std::uint64_t ticket,
                                std::vector<consensus::wire::Record> records) {
   Disk = std::move(records);
-  Written.push_back(ticket);
+  WrittenTickets.push_back(ticket);
 }
 
 bool FakeControls::Vm::send(const std::string &ip,
--- a/src/control/tests/FakeControls.h
+++ b/src/control/tests/FakeControls.h
@@ -27,7 +27,7 @@
     Orders.push_back(order);
     if (HoldsOrders)
       HeldOrders.push_back(std::move(onDone));
-    else if (Answers)
+    else if (AnswersOrders)
       onDone(PromotionResult::Accepted);
     else
       onDone(PromotionResult::NoAnswer);
@@ -72,7 +72,7 @@
   std::set<InstanceId> Silent;
   std::map<InstanceId, int> Pings;
   std::set<InstanceId> Forgotten;
-  bool Answers = true;
+  bool AnswersOrders = true;
   /// Answers are held until the test sends them.
   bool HoldsOrders = false;
   bool HoldsStatuses = false;
@@ -106,8 +106,8 @@
   }
   /// The bytes of the calls that the VM has forwarded to others.
   std::size_t callBytes(std::size_t vm) const { return Vms[vm].CallBytes; }
-  void cutOff(std::size_t vm) { Cut.insert(vm); }
-  void rejoin(std::size_t vm) { Cut.erase(vm); }
+  void isolate(std::size_t vm) { Isolated.insert(vm); }
+  void endIsolation(std::size_t vm) { Isolated.erase(vm); }
   /// Closes the VM's connections to the others and notifies both sides.
   void disconnect(std::size_t vm);
   void reconnect(std::size_t vm);
@@ -146,8 +146,8 @@
     std::vector<consensus::wire::Record> Disk;
     std::unique_ptr<consensus::ConsensusNode> Consensus;
     std::unique_ptr<ControlNode> Node;
-    std::vector<std::uint64_t> Written;
-    std::uint64_t Life = 0;
+    std::vector<std::uint64_t> WrittenTickets;
+    std::uint64_t Incarnation = 0;
     std::size_t EntryBytes = 0;
     std::size_t CallBytes = 0;
 
@@ -171,7 +171,7 @@
   Decode DecodeDocument;
   std::vector<Vm> Vms;
   std::deque<Packet> Packets;
-  std::set<std::size_t> Cut;
+  std::set<std::size_t> Isolated;
   std::set<std::size_t> Disconnected;
   std::map<std::string, std::vector<peer::wire::Message>> ToEntries;
   TimePoint Now = TimePoint(std::chrono::seconds(1));
--- a/src/control/tests/GroupReturnTest.cpp
+++ b/src/control/tests/GroupReturnTest.cpp
@@ -41,7 +41,7 @@
 
 /// The members that have sent the newest state to the entry VM; none may report
 /// an older one as fresh.
-std::set<std::size_t> restartAndListen(FakeControls &group) {
+std::set<std::size_t> restartAndCollectFresh(FakeControls &group) {
   std::set<std::size_t> fresh;
   group.OnSentOutside = [&](std::size_t vm, const std::string &ip,
                             const peer::wire::Message &message) {
@@ -67,7 +67,7 @@
   constexpr int Restarts = 40;
   int inTime = 0;
   for (int i = 0; i < Restarts; ++i) {
-    inTime += restartAndListen(group).size() == 3;
+    inTime += restartAndCollectFresh(group).size() == 3;
     group.run(milliseconds(1000));
   }
   INFO("restarts of ", Restarts, " told by all in time: ", inTime);
@@ -77,7 +77,7 @@
 TEST_CASE("GroupReturn_MemberThatComesLaterIsToldOfTheLeaderAtOnce") {
   FakeControls group;
   putVersions(group);
-  int told = 0;
+  int notified = 0;
   // At ten offsets between two heartbeats.
   for (std::int64_t place = 0; place < 100; place += 10) {
     const std::size_t late = (group.leader() + 1) % 3;
@@ -87,14 +87,14 @@
     group.start(late);
     group.connectFromOutside(EntryIp, late, entryHello());
     group.reconnect(late);
-    bool isTold = false;
+    bool isNotified = false;
     group.OnSentOutside = [&](std::size_t vm, const std::string &,
                               const peer::wire::Message &message) {
-      isTold |= vm == late && message.notice().is_fresh();
+      isNotified |= vm == late && message.notice().is_fresh();
     };
     group.run(milliseconds(50));
     group.OnSentOutside = nullptr;
-    told += isTold;
+    notified += isNotified;
   }
-  CHECK(told == 10);
+  CHECK(notified == 10);
 }
--- a/src/control/tests/RepeatedCallTest.cpp
+++ b/src/control/tests/RepeatedCallTest.cpp
@@ -48,7 +48,7 @@
   return (group.leader() + 1) % Vms;
 }
 
-std::size_t mostEntryBytes(const FakeControls &group) {
+std::size_t maxEntryBytes(const FakeControls &group) {
   std::size_t most = 0;
   for (std::size_t vm = 0; vm < Vms; ++vm)
     most = std::max(most, group.entryBytes(vm));
@@ -88,11 +88,11 @@
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
   const std::size_t follower = followerOf(group);
-  group.cutOff(follower);
+  group.isolate(follower);
   const auto done = put(group, follower, 1, document);
   group.run(milliseconds(100));
   group.disconnect(follower);
-  group.rejoin(follower);
+  group.endIsolation(follower);
   group.reconnect(follower);
   group.run(milliseconds(100));
   CHECK(*done == true);
@@ -104,7 +104,7 @@
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
   const std::size_t follower = followerOf(group);
   const std::size_t old = group.leader();
-  group.cutOff(old);
+  group.isolate(old);
   // The others become candidates 0.5 to 1 s after its last heartbeat.
   group.run(milliseconds(400));
   const auto done = put(group, follower, 1, document);
@@ -126,7 +126,7 @@
     group.run(CallTime);
     CHECK(*done == true);
   }
-  CHECK(mostEntryBytes(group) < document.size() + SmallEntries);
+  CHECK(maxEntryBytes(group) < document.size() + SmallEntries);
   for (std::size_t vm = 0; vm < Vms; ++vm)
     CHECK(group.node(vm).document() == document);
 }
@@ -139,15 +139,15 @@
   group.run(CallTime);
   CHECK(*first == true);
   const std::size_t old = group.leader();
-  group.cutOff(old);
+  group.isolate(old);
   const auto alone = put(group, old, 1, document);
   group.run(CallTime);
   CHECK(*alone == false);
   // A follower can't acknowledge it from its own copy either.
-  group.rejoin(old);
+  group.endIsolation(old);
   group.run(milliseconds(2500));
   const std::size_t follower = followerOf(group);
-  group.cutOff(follower);
+  group.isolate(follower);
   const auto follows = put(group, follower, 1, document);
   group.run(CallTime);
   CHECK(*follows == false);
@@ -178,11 +178,11 @@
   group.run(milliseconds(1500));
   const std::size_t old = group.leader();
   const std::string document = routeListDocument(1, 2, TimeoutMs);
-  group.cutOff(old);
+  group.isolate(old);
   const auto lost = put(group, old, 1, document);
   group.run(milliseconds(2500));
   CHECK(*lost == false);
-  group.rejoin(old);
+  group.endIsolation(old);
   group.run(milliseconds(500));
   for (std::size_t vm = 0; vm < Vms; ++vm) {
     const auto done = put(group, vm, 2 + vm, document);
@@ -198,12 +198,12 @@
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
   const std::size_t follower = followerOf(group);
   // Messages sent now don't arrive, and then the connection is closed.
-  group.cutOff(follower);
+  group.isolate(follower);
   const auto done = put(group, group.leader(), 1, document);
   group.run(milliseconds(100));
   CHECK(*done == true);
   group.disconnect(follower);
-  group.rejoin(follower);
+  group.endIsolation(follower);
   group.reconnect(follower);
   group.run(milliseconds(50));
   CHECK(group.node(follower).document() == document);
--- a/src/control/tests/RestartedInstanceTest.cpp
+++ b/src/control/tests/RestartedInstanceTest.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-constexpr std::uint64_t FirstLife = 1'800'000'000'000;
-constexpr std::uint64_t SecondLife = FirstLife + 60'000;
+constexpr std::uint64_t FirstStartMs = 1'800'000'000'000;
+constexpr std::uint64_t SecondStartMs = FirstStartMs + 60'000;
 
 membership::InstanceRecord instanceOf(const char *id, bool isPrimary,
                                       std::uint64_t bornMs,
@@ -35,7 +35,8 @@
   return record;
 }
 
-void say(FakeControls &group, const membership::InstanceRecord &record) {
+void sendHeartbeat(FakeControls &group,
+                   const membership::InstanceRecord &record) {
   group.node(group.leader()).instanceSaid(group.now(), record, [](bool) {});
   group.run(milliseconds(60));
 }
@@ -43,9 +44,9 @@
 /// A group with a primary and two replicas, of which r1 has received the most.
 void prepare(FakeControls &group) {
   group.run(milliseconds(1500));
-  say(group, instanceOf("p", true, FirstLife, 5));
-  say(group, instanceOf("r1", false, FirstLife, 5));
-  say(group, instanceOf("r2", false, FirstLife, 5));
+  sendHeartbeat(group, instanceOf("p", true, FirstStartMs, 5));
+  sendHeartbeat(group, instanceOf("r1", false, FirstStartMs, 5));
+  sendHeartbeat(group, instanceOf("r2", false, FirstStartMs, 5));
   group.Platform.Statuses = {
       {InstanceId("r1"), {membership::InstanceRole::Replica, {{3}, {90}}, {3}}},
       {InstanceId("r2"), {membership::InstanceRole::Replica, {{3}, {80}}, {3}}},
@@ -67,7 +68,7 @@
       auto &sight = *message.mutable_sights()->add_sights();
       sight.set_service("db");
       sight.set_instance("p");
-      sight.set_born_ms(FirstLife);
+      sight.set_born_ms(FirstStartMs);
       sight.set_silent_ms(static_cast<std::uint64_t>(i) * 100);
       group.sendFromOutside(ip, group.leader(), message);
     }
@@ -95,29 +96,29 @@
 
 TEST_CASE("RestartedInstance_MarkHoldsForItsLifeAndThoseBefore") {
   ClusterState state;
-  state.apply(1, markOf(FirstLife, wire::GONE));
-  CHECK(state.lifecycleOf("i", FirstLife) == wire::GONE);
-  CHECK(state.lifecycleOf("i", SecondLife) == wire::READY);
-  state.apply(2, markOf(SecondLife, wire::LEAVING));
-  CHECK(state.lifecycleOf("i", SecondLife) == wire::LEAVING);
+  state.apply(1, markOf(FirstStartMs, wire::GONE));
+  CHECK(state.lifecycleOf("i", FirstStartMs) == wire::GONE);
+  CHECK(state.lifecycleOf("i", SecondStartMs) == wire::READY);
+  state.apply(2, markOf(SecondStartMs, wire::LEAVING));
+  CHECK(state.lifecycleOf("i", SecondStartMs) == wire::LEAVING);
   // A late deregistration of the first incarnation.
-  state.apply(3, markOf(FirstLife, wire::GONE));
-  CHECK(state.lifecycleOf("i", SecondLife) == wire::LEAVING);
+  state.apply(3, markOf(FirstStartMs, wire::GONE));
+  CHECK(state.lifecycleOf("i", SecondStartMs) == wire::LEAVING);
   ClusterState restored;
   REQUIRE(restored.restore(state.serialize()));
-  CHECK(restored.lifecycleOf("i", SecondLife) == wire::LEAVING);
-  CHECK(restored.lifecycleOf("i", SecondLife + 1) == wire::READY);
+  CHECK(restored.lifecycleOf("i", SecondStartMs) == wire::LEAVING);
+  CHECK(restored.lifecycleOf("i", SecondStartMs + 1) == wire::READY);
 }
 
 TEST_CASE("RestartedInstance_LateRecordDoesNotReplaceTheNextLife") {
   ClusterState state;
-  state.apply(1, keepOf(SecondLife, "second"));
-  state.apply(2, keepOf(FirstLife, "first"));
-  state.apply(3, keepOf(FirstLife, ""));
-  state.apply(4, markOf(FirstLife, wire::GONE));
+  state.apply(1, keepOf(SecondStartMs, "second"));
+  state.apply(2, keepOf(FirstStartMs, "first"));
+  state.apply(3, keepOf(FirstStartMs, ""));
+  state.apply(4, markOf(FirstStartMs, wire::GONE));
   REQUIRE(state.instances().contains("i"));
   CHECK(state.instances().at("i").record() == "second");
-  state.apply(5, markOf(SecondLife, wire::GONE));
+  state.apply(5, markOf(SecondStartMs, wire::GONE));
   CHECK(state.instances().empty());
 }
 
@@ -126,15 +127,15 @@
   state.apply(1, keepOf(0, "old"));
   state.apply(2, markOf(0, wire::LEAVING));
   CHECK(state.lifecycleOf("i", 0) == wire::LEAVING);
-  CHECK(state.lifecycleOf("i", FirstLife) == wire::READY);
-  state.apply(3, keepOf(FirstLife, "new"));
+  CHECK(state.lifecycleOf("i", FirstStartMs) == wire::READY);
+  state.apply(3, keepOf(FirstStartMs, "new"));
   CHECK(state.instances().at("i").record() == "new");
 }
 
 TEST_CASE("RestartedInstance_QuestionsToTheEarlierLifeAreForgotten") {
   FakeControls group;
   prepare(group);
-  say(group, instanceOf("r1", false, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("r1", false, SecondStartMs, 1));
   CHECK(group.Platform.Forgotten.contains(InstanceId("r1")));
 }
 
@@ -150,7 +151,7 @@
       std::exchange(onDone,
                     nullptr)(group.Platform.Statuses.at(InstanceId("r1")));
   group.Platform.Statuses[InstanceId("r1")].Received = {{3}, {0}};
-  say(group, instanceOf("r1", false, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("r1", false, SecondStartMs, 1));
   group.Platform.HoldsStatuses = false;
   for (auto &[id, onDone] : group.Platform.HeldStatuses)
     if (onDone && group.Platform.Statuses.contains(id))
@@ -170,7 +171,7 @@
   REQUIRE(group.Platform.Orders[0].Instance == InstanceId("r1"));
   // It restarts without data before the order is answered.
   group.Platform.Statuses[InstanceId("r1")].Received = {{3}, {0}};
-  say(group, instanceOf("r1", false, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("r1", false, SecondStartMs, 1));
   group.Platform.HeldOrders[0](PromotionResult::Accepted);
   group.Platform.HoldsOrders = false;
   group.run(milliseconds(200));
@@ -184,7 +185,7 @@
   FakeControls group;
   prepare(group);
   group.Platform.Statuses[InstanceId("p")].Received = {{3}, {0}};
-  say(group, instanceOf("p", true, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("p", true, SecondStartMs, 1));
   group.run(milliseconds(1000));
   REQUIRE(!group.Platform.Orders.empty());
   CHECK(group.Platform.Orders[0].Instance == InstanceId("r1"));
@@ -194,9 +195,9 @@
   FakeControls group;
   prepare(group);
   for (const char *id : {"r1", "r2"})
-    say(group, instanceOf(id, false, SecondLife, 1));
+    sendHeartbeat(group, instanceOf(id, false, SecondStartMs, 1));
   group.Platform.Orders.clear();
-  say(group, instanceOf("p", true, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("p", true, SecondStartMs, 1));
   group.run(milliseconds(1000));
   CHECK(group.Platform.Orders.empty());
 }
@@ -206,8 +207,8 @@
   prepare(group);
   // All have restarted, so the empty primary stays primary by its own report.
   for (const char *id : {"r1", "r2"})
-    say(group, instanceOf(id, false, SecondLife, 1));
-  say(group, instanceOf("p", true, SecondLife, 1));
+    sendHeartbeat(group, instanceOf(id, false, SecondStartMs, 1));
+  sendHeartbeat(group, instanceOf("p", true, SecondStartMs, 1));
   losePrimary(group);
   CHECK(group.Platform.Orders.empty());
 }
--- a/src/control/tests/CallsInLogTest.cpp
+++ b/src/control/tests/UncommittedCallsTest.cpp
@@ -3,14 +3,14 @@
 
 /// \file A call is new to a leader's log once per term, until it is committed.
 
-#include "control/internal/CallsInLog.h"
+#include "control/internal/UncommittedCalls.h"
 
 #include <doctest/doctest.h>
 
-using stepledge::control::CallsInLog;
+using stepledge::control::UncommittedCalls;
 
 TEST_CASE("CallsInLog_RepeatIsNoNewCall") {
-  CallsInLog calls;
+  UncommittedCalls calls;
   CHECK(calls.add(3, 100, 1));
   CHECK(!calls.add(3, 100, 1));
   CHECK(calls.add(3, 100, 2));
@@ -18,14 +18,14 @@
 }
 
 TEST_CASE("CallsInLog_CommittedCallIsNewAgain") {
-  CallsInLog calls;
+  UncommittedCalls calls;
   CHECK(calls.add(3, 100, 1));
   calls.remove(100, 1);
   CHECK(calls.add(3, 100, 1));
 }
 
 TEST_CASE("CallsInLog_NextLeadKnowsNoCallOfTheLastOne") {
-  CallsInLog calls;
+  UncommittedCalls calls;
   CHECK(calls.add(3, 100, 1));
   CHECK(calls.add(5, 100, 1));
   CHECK(!calls.add(5, 100, 1));
