--- a/src/membership/tests/HomeTableTest.cpp
+++ b/src/membership/tests/HomeTableTest.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("HomeTable_SharesNeverPassTheLimit") {
+TEST_CASE("HomeTable_SharesNeverExceedTheLimit") {
   std::mt19937_64 random(7);
   for (int i = 0; i < 60; ++i) {
     const int usable = 1 + static_cast<int>(random() % 120);
@@ -74,7 +74,7 @@
       CHECK(it.Hall == HallId("hall1"));
 }
 
-TEST_CASE("HomeTable_BorrowersAskHomesFirstAndShareThem") {
+TEST_CASE("HomeTable_BorrowersAskHomesFirstAndSpreadOverThem") {
   const auto entries = vms(70, 3);
   const auto homes = homesOf(entries, "i-1", "hall1", 49);
   std::map<std::string, int> firstChoices;
@@ -121,7 +121,7 @@
   CHECK(!table.isNeeded(263));
 }
 
-TEST_CASE("HomeTable_EvenSharesMakeUpTheWhole") {
+TEST_CASE("HomeTable_EvenSharesAddUpToAllConnections") {
   std::mt19937_64 random(11);
   for (int i = 0; i < 60; ++i) {
     const int count = 1 + static_cast<int>(random() % 30);
@@ -145,7 +145,7 @@
   }
 }
 
-TEST_CASE("HomeTable_WhatDoesNotGoRoundGoesToTheInstancesHallFirst") {
+TEST_CASE("HomeTable_RemainderGoesToTheInstancesHallFirst") {
   const auto entries = vms(7, 3);
   // Three VMs are in the first hall, and three connections are left over.
   for (const auto &it : entries) {
@@ -157,7 +157,7 @@
   }
 }
 
-TEST_CASE("HomeTable_WhatIsLeftAfterThatDiffersByInstance") {
+TEST_CASE("HomeTable_RemainderBeyondTheHallDiffersByInstance") {
   const auto entries = vms(8, 3);
   std::map<std::string, int> extras;
   for (int i = 0; i < 30; ++i)
--- a/src/membership/tests/InstanceDirectoryTest.cpp
+++ b/src/membership/tests/InstanceDirectoryTest.cpp
@@ -28,7 +28,8 @@
 
 } // namespace
 
-TEST_CASE("InstanceDirectory_LateWordOfTheCrashedOneLeavesTheNewOneAlone") {
+TEST_CASE(
+    "InstanceDirectory_LateHeartbeatOfACrashedInstanceDoesNotAffectTheNewOne") {
   InstanceDirectory directory;
   directory.merge(Start, recordOf("old", 7, InstanceRole::Primary));
   directory.merge(Start, recordOf("new", 1, InstanceRole::Replica));
@@ -41,7 +42,7 @@
   CHECK(next->Sequence == 1);
 }
 
-TEST_CASE("InstanceDirectory_LateWordBeforeTheNewOneIsHeardChangesNothing") {
+TEST_CASE("InstanceDirectory_LateHeartbeatBeforeTheNewInstanceChangesNothing") {
   InstanceDirectory directory;
   directory.merge(Start, recordOf("old", 9, InstanceRole::Replica));
   const auto change =
@@ -53,7 +54,7 @@
   CHECK(directory.find(InstanceId("new"))->Role == InstanceRole::Primary);
 }
 
-TEST_CASE("InstanceDirectory_LateWordDoesNotKeepTheCrashedOneForLong") {
+TEST_CASE("InstanceDirectory_LateHeartbeatDoesNotKeepACrashedInstanceForLong") {
   InstanceDirectory directory;
   constexpr Duration Silence = milliseconds(20000);
   directory.merge(Start, recordOf("old", 7, InstanceRole::Primary));
@@ -65,7 +66,7 @@
   CHECK(directory.expire(Start + milliseconds(36000), Silence).size() == 1);
 }
 
-TEST_CASE("InstanceDirectory_LateWordDoesNotUndoThatItIsGone") {
+TEST_CASE("InstanceDirectory_LateHeartbeatDoesNotRevertGone") {
   InstanceDirectory directory;
   directory.merge(Start, recordOf("old", 7, InstanceRole::Primary));
   REQUIRE(directory.raiseState(InstanceId("old"), 0, InstanceState::Gone));
@@ -73,7 +74,7 @@
   CHECK(directory.find(InstanceId("old"))->State == InstanceState::Gone);
 }
 
-TEST_CASE("InstanceDirectory_KnowsTheInstancesOfEachService") {
+TEST_CASE("InstanceDirectory_ListsTheInstancesOfEachService") {
   InstanceDirectory directory;
   auto record = recordOf("a", 1, InstanceRole::Primary);
   directory.merge(Start, record);
