--- a/src/control/tests/ControlNodeTest.cpp
+++ b/src/control/tests/ControlNodeTest.cpp
@@ -83,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("Control_AnyVmTakesAConfiguration") {
+TEST_CASE("Control_AnyVmAcceptsAConfiguration") {
   FakeControls group;
   group.run(milliseconds(1500));
   for (std::size_t vm = 0; vm < 3; ++vm)
@@ -92,7 +92,7 @@
     CHECK(read(group, vm) == "document 2");
 }
 
-TEST_CASE("Control_HighestVersionHolds") {
+TEST_CASE("Control_HighestVersionWins") {
   FakeControls group;
   group.run(milliseconds(1500));
   CHECK(put(group, 0, 5, "five") == true);
@@ -101,7 +101,7 @@
   CHECK(read(group, 0) == "five");
 }
 
-TEST_CASE("Control_CutOffVmNeitherAcknowledgesNorReads") {
+TEST_CASE("Control_IsolatedVmNeitherAcknowledgesNorReads") {
   FakeControls group;
   group.run(milliseconds(1500));
   CHECK(put(group, 0, 1, "one") == true);
@@ -115,7 +115,7 @@
   CHECK(read(group, other) == "three");
 }
 
-TEST_CASE("Control_RestartedVmsAnswerOnlyFromTheWholeLog") {
+TEST_CASE("Control_RestartedVmsAnswerOnlyAfterReplayingTheLog") {
   // Guards against mistaking calls of an earlier incarnation, which are in the
   // log under the same VM, for new ones: they finished a new read in the middle
   // of the replay.
@@ -143,7 +143,7 @@
   CHECK(read(group, 0) == "document 12");
 }
 
-TEST_CASE("Control_LeavingIsNotForgotten") {
+TEST_CASE("Control_LeavingStateSurvivesARestart") {
   FakeControls group;
   group.run(milliseconds(1500));
   sendHeartbeats(group, 1);
@@ -175,7 +175,7 @@
   CHECK(isLeaving);
 }
 
-TEST_CASE("Control_RestartedGroupKnowsItsInstances") {
+TEST_CASE("Control_RestartedGroupKeepsItsInstances") {
   FakeControls group;
   group.run(milliseconds(1500));
   sendHeartbeats(group, 1);
@@ -195,7 +195,7 @@
   CHECK(known == std::set<std::string>{"p", "r1", "r2"});
 }
 
-TEST_CASE("Control_LostPrimaryIsReplacedByTheFurthestReplica") {
+TEST_CASE("Control_LostPrimaryIsReplacedByTheMostAdvancedReplica") {
   FakeControls group;
   group.run(milliseconds(1500));
   sendHeartbeats(group, 1);
@@ -214,7 +214,7 @@
   CHECK(group.Platform.Orders.front().Fence > 0);
 }
 
-TEST_CASE("Control_EntryVmsThatAskHearOfInstances") {
+TEST_CASE("Control_SubscribedEntryVmsReceiveInstances") {
   FakeControls group;
   group.run(milliseconds(1500));
   const auto vm = group.leader();
@@ -251,7 +251,7 @@
   CHECK(received("10.5.0.2") == 0);
 }
 
-TEST_CASE("Control_ManyInstancesAreToldInFewMessages") {
+TEST_CASE("Control_ManyInstancesAreSentInFewMessages") {
   // Sent one by one, these were 1,000 messages to each entry VM.
   FakeControls group;
   group.run(milliseconds(1500));
@@ -277,7 +277,7 @@
   CHECK(messages <= 5);
 }
 
-TEST_CASE("Control_PingsKeepWithinTheirBudgetAndSuspectsGoFirst") {
+TEST_CASE("Control_PingsKeepWithinTheirRateAndSuspectsGoFirst") {
   // Without the limit, each would be pinged four times a second: 2,400 pings.
   constexpr int Services = 600;
   FakeControls group;
@@ -302,7 +302,7 @@
   CHECK(all - group.Platform.Pings[suspect] <= 4 * 200 + 50);
 }
 
-TEST_CASE("Control_PrimaryIsLostByThoseThatWatchItsService") {
+TEST_CASE("Control_PrimaryIsLostIfItsPresentObserversMissIt") {
   FakeControls group;
   group.run(milliseconds(1500));
   sendHeartbeats(group, 1);
@@ -325,7 +325,7 @@
   CHECK_FALSE(group.Platform.Orders.empty());
 }
 
-TEST_CASE("Control_PrimaryThatMostVmsReachIsLeftAlone") {
+TEST_CASE("Control_PrimaryThatMostVmsReachIsNotReplaced") {
   FakeControls group;
   group.run(milliseconds(1500));
   sendHeartbeats(group, 1);
@@ -339,7 +339,7 @@
   CHECK(group.Platform.Orders.empty());
 }
 
-TEST_CASE("Control_UnchangedReportsCountAsTheLastOnes") {
+TEST_CASE("Control_UnchangedReportsRepeatTheLastOnes") {
   FakeControls group;
   group.run(milliseconds(1500));
   sendHeartbeats(group, 1);
@@ -355,7 +355,7 @@
   CHECK(group.Platform.Orders.empty());
 }
 
-TEST_CASE("Control_PrimaryOnTheOtherSideOfACutIsLeftAlone") {
+TEST_CASE("Control_PrimaryAcrossAPartitionIsReplacedOnlyAfterLongSilence") {
   FakeControls group;
   group.run(milliseconds(1500));
   sendHeartbeats(group, 1);
@@ -384,7 +384,7 @@
   CHECK(!group.Platform.Orders.empty());
 }
 
-TEST_CASE("Control_SyncedServiceIsPausedBeforeAPromotion") {
+TEST_CASE("Control_SynchronousReplicasArePausedBeforeAPromotion") {
   FakeControls group;
   group.run(milliseconds(1500));
   CHECK(put(group, 0, 1, "sync") == true);
@@ -410,7 +410,7 @@
   CHECK(group.Platform.Orders.front().Instance == InstanceId("r2"));
 }
 
-TEST_CASE("Control_FencesRiseOverLeaders") {
+TEST_CASE("Control_FencesIncreaseAcrossLeaders") {
   FakeControls group;
   group.run(milliseconds(1500));
   group.Platform.AnswersOrders = false;
@@ -439,7 +439,7 @@
   }
 }
 
-TEST_CASE("Control_VmThatWasAwayForHundredsOfChangesCatchesUp") {
+TEST_CASE("Control_VmThatMissedHundredsOfChangesCatchesUp") {
   FakeControls group;
   group.run(milliseconds(1500));
   const std::size_t away = (group.leader() + 1) % 3;
@@ -463,7 +463,7 @@
   CHECK(read(group, away) == "after");
 }
 
-TEST_CASE("Control_NothingAcknowledgedIsLostWhenAllAreKilledAtOnce") {
+TEST_CASE("Control_NoAcknowledgedChangeIsLostWhenAllAreKilledAtOnce") {
   FakeControls group;
   group.run(milliseconds(1500));
   std::uint64_t acknowledged = 0;
--- a/src/control/tests/EntryRosterTest.cpp
+++ b/src/control/tests/EntryRosterTest.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("EntryRoster_TellsEachChangeOnce") {
+TEST_CASE("EntryRoster_ListsEachChangeOnce") {
   EntryRoster roster;
   roster.join("10.1.0.1", "a");
   roster.join("10.1.0.2", "b");
@@ -47,7 +47,7 @@
   CHECK(third.entries_joined_size() == 0);
 }
 
-TEST_CASE("EntryRoster_VmThatCameBackInBetweenIsNoChange") {
+TEST_CASE("EntryRoster_ReconnectedVmIsNoChange") {
   EntryRoster roster;
   roster.join("10.1.0.1", "a");
   peer::wire::Notice first;
@@ -59,7 +59,7 @@
   CHECK(second.ByteSizeLong() == 0);
 }
 
-TEST_CASE("Control_NewEntryVmIsToldAllOthersAndTheyOfIt") {
+TEST_CASE("Control_NewEntryVmAndTheOthersAreListedToEachOther") {
   FakeControls group;
   group.run(milliseconds(1500));
   connect(group, ipOf(1));
@@ -76,7 +76,7 @@
   CHECK(joined == 1);
 }
 
-TEST_CASE("Control_NoticesToAnEntryVmDontGrowWithTheirNumber") {
+TEST_CASE("Control_NoticeSizeDoesNotGrowWithTheNumberOfEntryVms") {
   FakeControls group;
   group.run(milliseconds(1500));
   for (int vm = 0; vm < Vms; ++vm)
--- a/src/control/tests/GroupReturnTest.cpp
+++ b/src/control/tests/GroupReturnTest.cpp
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("GroupReturn_EveryMemberTellsEntryVmsAtOnce") {
+TEST_CASE("GroupReturn_EveryMemberNotifiesEntryVmsAtOnce") {
   FakeControls group;
   putVersions(group);
   constexpr int Restarts = 40;
@@ -70,11 +70,11 @@
     inTime += restartAndCollectFresh(group).size() == 3;
     group.run(milliseconds(1000));
   }
-  INFO("restarts of ", Restarts, " told by all in time: ", inTime);
+  INFO("restarts of ", Restarts, " reported by all in time: ", inTime);
   CHECK(inTime == Restarts);
 }
 
-TEST_CASE("GroupReturn_MemberThatComesLaterIsToldOfTheLeaderAtOnce") {
+TEST_CASE("GroupReturn_LateMemberFindsTheLeaderAtOnce") {
   FakeControls group;
   putVersions(group);
   int notified = 0;
--- a/src/control/tests/RepeatedCallTest.cpp
+++ b/src/control/tests/RepeatedCallTest.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("Control_CallThatWaitsForItsCommitIsInTheLogOnce") {
+TEST_CASE("Control_RetriedUncommittedCallIsInTheLogOnce") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
@@ -71,7 +71,7 @@
   }
 }
 
-TEST_CASE("Control_LargeCallIsPassedOnOnce") {
+TEST_CASE("Control_LargeCallIsForwardedOnce") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
@@ -83,7 +83,7 @@
   CHECK(group.callBytes(follower) < document.size() + SmallEntries);
 }
 
-TEST_CASE("Control_CallThatWasLostWithItsConnectionIsPassedOnAgain") {
+TEST_CASE("Control_CallLostWithItsConnectionIsForwardedAgain") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
@@ -98,7 +98,7 @@
   CHECK(*done == true);
 }
 
-TEST_CASE("Control_CallThatDiedWithItsLeaderIsPassedOnToTheNextOne") {
+TEST_CASE("Control_CallLostWithItsLeaderIsForwardedToTheNextOne") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
@@ -113,7 +113,7 @@
   CHECK(group.node(follower).document() == document);
 }
 
-TEST_CASE("Control_ConfigurationThatAllHoldIsAcknowledgedWithoutItsBytes") {
+TEST_CASE("Control_AppliedConfigurationIsAcknowledgedWithoutLoggingItsBytes") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
@@ -131,7 +131,7 @@
     CHECK(group.node(vm).document() == document);
 }
 
-TEST_CASE("Control_HeldConfigurationIsAcknowledgedOnlyAfterACommit") {
+TEST_CASE("Control_AppliedConfigurationIsAcknowledgedOnlyAfterACommit") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, 1, TimeoutMs);
@@ -153,7 +153,7 @@
   CHECK(*follows == false);
 }
 
-TEST_CASE("Control_RepeatNeverChangesAVersionsContent") {
+TEST_CASE("Control_RetryNeverChangesAVersionsContent") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, 2, TimeoutMs);
@@ -173,7 +173,7 @@
     CHECK(group.node(vm).document() == document);
 }
 
-TEST_CASE("Control_CallOfALostLeadIsTakenByTheNextLeader") {
+TEST_CASE("Control_FormerLeadersCallsAreTakenByTheNextLeader") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::size_t old = group.leader();
@@ -192,7 +192,7 @@
   }
 }
 
-TEST_CASE("Control_EntryOnALostConnectionIsSentAgainAtOnce") {
+TEST_CASE("Control_EntryLostWithItsConnectionIsResentAtOnce") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
@@ -209,7 +209,7 @@
   CHECK(group.node(follower).document() == document);
 }
 
-TEST_CASE("Control_EntryThatFoundNoConnectionGoesOutOnTheNextOne") {
+TEST_CASE("Control_EntryWithoutAConnectionIsSentOnTheNextOne") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
--- a/src/control/tests/RestartedInstanceTest.cpp
+++ b/src/control/tests/RestartedInstanceTest.cpp
@@ -94,7 +94,7 @@
 
 } // namespace
 
-TEST_CASE("RestartedInstance_MarkHoldsForItsLifeAndThoseBefore") {
+TEST_CASE("RestartedInstance_MarkAppliesToItsIncarnationAndEarlierOnes") {
   ClusterState state;
   state.apply(1, markOf(FirstStartMs, wire::GONE));
   CHECK(state.lifecycleOf("i", FirstStartMs) == wire::GONE);
@@ -110,7 +110,7 @@
   CHECK(restored.lifecycleOf("i", SecondStartMs + 1) == wire::READY);
 }
 
-TEST_CASE("RestartedInstance_LateRecordDoesNotReplaceTheNextLife") {
+TEST_CASE("RestartedInstance_LateRecordDoesNotReplaceTheNextIncarnation") {
   ClusterState state;
   state.apply(1, keepOf(SecondStartMs, "second"));
   state.apply(2, keepOf(FirstStartMs, "first"));
@@ -122,7 +122,7 @@
   CHECK(state.instances().empty());
 }
 
-TEST_CASE("RestartedInstance_EntriesWithoutALifeStillRead") {
+TEST_CASE("RestartedInstance_EntriesWithoutAStartTimeAreStillRead") {
   ClusterState state;
   state.apply(1, keepOf(0, "old"));
   state.apply(2, markOf(0, wire::LEAVING));
@@ -132,14 +132,14 @@
   CHECK(state.instances().at("i").record() == "new");
 }
 
-TEST_CASE("RestartedInstance_QuestionsToTheEarlierLifeAreForgotten") {
+TEST_CASE("RestartedInstance_RequestsToTheEarlierIncarnationAreDropped") {
   FakeControls group;
   prepare(group);
   sendHeartbeat(group, instanceOf("r1", false, SecondStartMs, 1));
   CHECK(group.Platform.Forgotten.contains(InstanceId("r1")));
 }
 
-TEST_CASE("RestartedInstance_AnswerOfTheEarlierLifePromotesNobody") {
+TEST_CASE("RestartedInstance_AnswerOfTheEarlierIncarnationPromotesNoInstance") {
   FakeControls group;
   prepare(group);
   group.Platform.HoldsStatuses = true;
@@ -162,7 +162,7 @@
     CHECK(it.Instance == InstanceId("r2"));
 }
 
-TEST_CASE("RestartedInstance_OrderForTheEarlierLifeIsGivenAnew") {
+TEST_CASE("RestartedInstance_OrderForTheEarlierIncarnationIsRepeated") {
   FakeControls group;
   prepare(group);
   group.Platform.HoldsOrders = true;
@@ -191,7 +191,7 @@
   CHECK(group.Platform.Orders[0].Instance == InstanceId("r1"));
 }
 
-TEST_CASE("RestartedInstance_GroupThatAllStartedAnewKeepsItsPrimary") {
+TEST_CASE("RestartedInstance_FullyRestartedGroupKeepsItsPrimary") {
   FakeControls group;
   prepare(group);
   for (const char *id : {"r1", "r2"})
@@ -202,7 +202,7 @@
   CHECK(group.Platform.Orders.empty());
 }
 
-TEST_CASE("RestartedInstance_SilenceSeenOfTheEarlierLifeDoesNotCount") {
+TEST_CASE("RestartedInstance_SilenceOfTheEarlierIncarnationDoesNotCount") {
   FakeControls group;
   prepare(group);
   // All have restarted, so the empty primary stays primary by its own report.
--- a/src/control/tests/UncommittedCallsTest.cpp
+++ b/src/control/tests/UncommittedCallsTest.cpp
@@ -9,7 +9,7 @@
 
 using stepledge::control::UncommittedCalls;
 
-TEST_CASE("CallsInLog_RepeatIsNoNewCall") {
+TEST_CASE("UncommittedCalls_RetryIsNoNewCall") {
   UncommittedCalls calls;
   CHECK(calls.add(3, 100, 1));
   CHECK(!calls.add(3, 100, 1));
@@ -17,14 +17,14 @@
   CHECK(calls.add(3, 101, 1));
 }
 
-TEST_CASE("CallsInLog_CommittedCallIsNewAgain") {
+TEST_CASE("UncommittedCalls_CommittedCallIsNewAgain") {
   UncommittedCalls calls;
   CHECK(calls.add(3, 100, 1));
   calls.remove(100, 1);
   CHECK(calls.add(3, 100, 1));
 }
 
-TEST_CASE("CallsInLog_NextLeadKnowsNoCallOfTheLastOne") {
+TEST_CASE("UncommittedCalls_NewTermHasNoCallsOfTheLastOne") {
   UncommittedCalls calls;
   CHECK(calls.add(3, 100, 1));
   CHECK(calls.add(5, 100, 1));
