--- a/src/control/tests/ControlNodeTest.cpp
+++ b/src/control/tests/ControlNodeTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A group of control VMs: what it acknowledges it keeps, what it can't
-/// be sure of it doesn't answer, and it replaces a primary that is lost.
+/// \file A group of control VMs: it keeps what it has acknowledged, doesn't
+/// answer while its state is uncertain, and replaces a lost primary.
 
 #include "control/tests/FakeControls.h"
 
@@ -52,7 +52,7 @@
   return record;
 }
 
-void sayAll(FakeControls &group, std::uint64_t sequence) {
+void sendHeartbeats(FakeControls &group, std::uint64_t sequence) {
   for (const auto &[id, isPrimary] :
        {std::pair("p", true), std::pair("r1", false), std::pair("r2", false)})
     group.node(group.leader())
@@ -61,9 +61,9 @@
   group.run(milliseconds(300));
 }
 
-/// An entry VM tells the leader how long the primary has been silent.
-void reportSight(FakeControls &group, const std::string &entryIp,
-                 std::uint64_t silentMs) {
+/// An entry VM reports to the leader how long the primary has been silent.
+void reportObservation(FakeControls &group, const std::string &entryIp,
+                       std::uint64_t silentMs) {
   peer::wire::Message message;
   auto &sight = *message.mutable_sights()->add_sights();
   sight.set_service("db");
@@ -73,8 +73,8 @@
   group.node(group.leader()).peerSaid(entryIp, message);
 }
 
-/// An entry VM tells the leader that it sees what it saw last.
-void repeatSight(FakeControls &group, const std::string &entryIp) {
+/// An entry VM reports to the leader that its observations are unchanged.
+void repeatObservations(FakeControls &group, const std::string &entryIp) {
   peer::wire::Message message;
   message.mutable_sights()->set_is_unchanged(true);
   group.node(group.leader()).setTime(group.now());
@@ -83,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("Control_AnyVmTakesAConfiguration") {
+TEST_CASE("Control_AnyVmAcceptsAConfiguration") {
   FakeControls group;
   group.run(milliseconds(1500));
   for (std::size_t vm = 0; vm < 3; ++vm)
@@ -92,7 +92,7 @@
     CHECK(read(group, vm) == "document 2");
 }
 
-TEST_CASE("Control_HighestVersionHolds") {
+TEST_CASE("Control_HighestVersionWins") {
   FakeControls group;
   group.run(milliseconds(1500));
   CHECK(put(group, 0, 5, "five") == true);
@@ -101,12 +101,12 @@
   CHECK(read(group, 0) == "five");
 }
 
-TEST_CASE("Control_CutOffVmNeitherAcknowledgesNorReads") {
+TEST_CASE("Control_IsolatedVmNeitherAcknowledgesNorReads") {
   FakeControls group;
   group.run(milliseconds(1500));
   CHECK(put(group, 0, 1, "one") == true);
   const std::size_t old = group.leader();
-  group.cutOff(old);
+  group.isolate(old);
   group.run(milliseconds(2500));
   CHECK(put(group, old, 2, "two") == false);
   CHECK(!read(group, old));
@@ -115,9 +115,10 @@
   CHECK(read(group, other) == "three");
 }
 
-TEST_CASE("Control_RestartedVmsAnswerOnlyFromTheWholeLog") {
-  // Calls of an earlier life stand in the log under the same VM's name; they
-  // once finished a new read in the middle of the replay.
+TEST_CASE("Control_RestartedVmsAnswerOnlyAfterReplayingTheLog") {
+  // Guards against mistaking calls of an earlier incarnation, which are in the
+  // log under the same VM, for new ones: they finished a new read in the middle
+  // of the replay.
   FakeControls group;
   group.run(milliseconds(1500));
   for (std::uint64_t version = 1; version <= 12; ++version)
@@ -142,10 +143,10 @@
   CHECK(read(group, 0) == "document 12");
 }
 
-TEST_CASE("Control_LeavingIsNotForgotten") {
+TEST_CASE("Control_LeavingStateSurvivesARestart") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   auto leaving = instanceOf("r1", false, 2);
   leaving.State = membership::InstanceState::Leaving;
   std::optional<bool> done;
@@ -158,7 +159,8 @@
   for (std::size_t vm = 0; vm < 3; ++vm)
     group.start(vm);
   group.run(milliseconds(2000));
-  // An entry VM that connects is told of it, whatever a late heartbeat says.
+  // An entry VM that connects receives this state, in spite of a late
+  // heartbeat.
   group.node(1).instanceSaid(group.now(), instanceOf("r1", false, 3),
                              [](bool) {});
   peer::wire::Hello hello;
@@ -173,10 +175,10 @@
   CHECK(isLeaving);
 }
 
-TEST_CASE("Control_RestartedGroupKnowsItsInstances") {
+TEST_CASE("Control_RestartedGroupKeepsItsInstances") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   for (std::size_t vm = 0; vm < 3; ++vm)
     group.kill(vm);
   for (std::size_t vm = 0; vm < 3; ++vm)
@@ -193,18 +195,18 @@
   CHECK(known == std::set<std::string>{"p", "r1", "r2"});
 }
 
-TEST_CASE("Control_LostPrimaryIsReplacedByTheFurthestReplica") {
+TEST_CASE("Control_LostPrimaryIsReplacedByTheMostAdvancedReplica") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Statuses[InstanceId("r1")] = {
       membership::InstanceRole::Replica, {{3}, {100}}, {3}};
   group.Platform.Statuses[InstanceId("r2")] = {
       membership::InstanceRole::Replica, {{3}, {140}}, {3}};
   group.Platform.Silent.insert(InstanceId("p"));
   for (int i = 0; i < 15; ++i) {
-    reportSight(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
-    reportSight(group, "10.5.0.2", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.2", static_cast<std::uint64_t>(i) * 100);
     group.run(milliseconds(100));
   }
   REQUIRE(!group.Platform.Orders.empty());
@@ -212,11 +214,11 @@
   CHECK(group.Platform.Orders.front().Fence > 0);
 }
 
-TEST_CASE("Control_EntryVmsThatAskHearOfInstances") {
+TEST_CASE("Control_SubscribedEntryVmsReceiveInstances") {
   FakeControls group;
   group.run(milliseconds(1500));
   const auto vm = group.leader();
-  const auto heard = [&](const std::string &ip) {
+  const auto received = [&](const std::string &ip) {
     int n = 0;
     for (const auto &message : std::exchange(group.sentTo(ip), {}))
       n += message.instances().instances_size();
@@ -228,29 +230,29 @@
     group.connectFromOutside(ip, vm, hello);
   }
   group.wantInstances("10.5.0.1", vm, true);
-  sayAll(group, 1);
-  CHECK(heard("10.5.0.1") == 3);
-  CHECK(heard("10.5.0.2") == 0);
-  // One that asks later is told of all of them.
+  sendHeartbeats(group, 1);
+  CHECK(received("10.5.0.1") == 3);
+  CHECK(received("10.5.0.2") == 0);
+  // A later subscriber receives all of them.
   group.wantInstances("10.5.0.2", vm, true);
-  CHECK(heard("10.5.0.2") == 3);
+  CHECK(received("10.5.0.2") == 3);
   group.wantInstances("10.5.0.1", vm, false);
   group.node(vm).instanceSaid(group.now(), instanceOf("r1", true, 2),
                               [](bool) {});
   group.run(milliseconds(300));
-  CHECK(heard("10.5.0.1") == 0);
-  CHECK(heard("10.5.0.2") == 1);
-  // A new connection asks anew.
+  CHECK(received("10.5.0.1") == 0);
+  CHECK(received("10.5.0.2") == 1);
+  // A new connection has no subscription yet.
   group.loseFromOutside("10.5.0.2", vm);
   group.connectFromOutside("10.5.0.2", vm, hello);
   group.node(vm).instanceSaid(group.now(), instanceOf("r1", false, 3),
                               [](bool) {});
   group.run(milliseconds(300));
-  CHECK(heard("10.5.0.2") == 0);
+  CHECK(received("10.5.0.2") == 0);
 }
 
-TEST_CASE("Control_ManyInstancesAreToldInFewMessages") {
-  // One by one they were 1,000 messages to each entry VM.
+TEST_CASE("Control_ManyInstancesAreSentInFewMessages") {
+  // Sent one by one, these were 1,000 messages to each entry VM.
   FakeControls group;
   group.run(milliseconds(1500));
   const auto vm = group.leader();
@@ -275,8 +277,8 @@
   CHECK(messages <= 5);
 }
 
-TEST_CASE("Control_PingsKeepWithinTheirBudgetAndSuspectsGoFirst") {
-  // Each would be asked four times a second: 2,400 questions.
+TEST_CASE("Control_PingsKeepWithinTheirRateAndSuspectsGoFirst") {
+  // Without the limit, each would be pinged four times a second: 2,400 pings.
   constexpr int Services = 600;
   FakeControls group;
   group.run(milliseconds(1500));
@@ -300,69 +302,70 @@
   CHECK(all - group.Platform.Pings[suspect] <= 4 * 200 + 50);
 }
 
-TEST_CASE("Control_PrimaryIsLostByThoseThatWatchItsService") {
+TEST_CASE("Control_PrimaryIsLostIfItsPresentObserversMissIt") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Statuses[InstanceId("r1")] = {
       membership::InstanceRole::Replica, {{3}, {100}}, {3}};
-  // Many have watched the service, and no longer do.
+  // Many VMs have monitored the service and no longer do.
   for (int i = 10; i < 20; ++i) {
     const std::string ip = "10.5.1." + std::to_string(i);
-    reportSight(group, ip, 0);
+    reportObservation(group, ip, 0);
     peer::wire::Message none;
     none.mutable_sights();
     group.node(group.leader()).peerSaid(ip, none);
   }
   group.Platform.Silent.insert(InstanceId("p"));
   for (int i = 0; i < 15; ++i) {
-    reportSight(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
-    reportSight(group, "10.5.0.2", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.2", static_cast<std::uint64_t>(i) * 100);
     group.run(milliseconds(100));
   }
   CHECK_FALSE(group.Platform.Orders.empty());
 }
 
-TEST_CASE("Control_PrimaryThatMostVmsReachIsLeftAlone") {
+TEST_CASE("Control_PrimaryThatMostVmsReachIsNotReplaced") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Silent.insert(InstanceId("p"));
   for (int i = 0; i < 20; ++i) {
-    reportSight(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
-    reportSight(group, "10.5.0.2", 0);
-    reportSight(group, "10.5.0.3", 0);
+    reportObservation(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
+    reportObservation(group, "10.5.0.2", 0);
+    reportObservation(group, "10.5.0.3", 0);
     group.run(milliseconds(100));
   }
   CHECK(group.Platform.Orders.empty());
 }
 
-TEST_CASE("Control_UnchangedReportsCountAsTheLastOnes") {
+TEST_CASE("Control_UnchangedReportsRepeatTheLastOnes") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Silent.insert(InstanceId("p"));
-  reportSight(group, "10.5.0.2", 0);
-  reportSight(group, "10.5.0.3", 0);
+  reportObservation(group, "10.5.0.2", 0);
+  reportObservation(group, "10.5.0.3", 0);
   for (int i = 0; i < 30; ++i) {
-    reportSight(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
-    repeatSight(group, "10.5.0.2");
-    repeatSight(group, "10.5.0.3");
+    reportObservation(group, "10.5.0.1", static_cast<std::uint64_t>(i) * 100);
+    repeatObservations(group, "10.5.0.2");
+    repeatObservations(group, "10.5.0.3");
     group.run(milliseconds(100));
   }
   CHECK(group.Platform.Orders.empty());
 }
 
-TEST_CASE("Control_PrimaryOnTheOtherSideOfACutIsLeftAlone") {
+TEST_CASE("Control_PrimaryAcrossAPartitionIsReplacedOnlyAfterLongSilence") {
   FakeControls group;
   group.run(milliseconds(1500));
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   const auto report = [&group](const char *ip, std::uint64_t silentMs) {
-    reportSight(group, std::string("10.5.0.") + ip, silentMs);
+    reportObservation(group, std::string("10.5.0.") + ip, silentMs);
   };
   for (const char *ip : {"1", "2", "3", "4", "5", "6"})
     report(ip, 0);
-  // Four VMs fall silent together with the primary; two and control miss it.
+  // Four VMs become unreachable together with the primary; two VMs and control
+  // miss it.
   group.Platform.Statuses[InstanceId("r1")] = {
       membership::InstanceRole::Replica, {{3}, {100}}, {3}};
   group.Platform.Silent.insert(InstanceId("p"));
@@ -372,7 +375,7 @@
     group.run(milliseconds(100));
   }
   CHECK(group.Platform.Orders.empty());
-  // It doesn't come back, so it is replaced after all.
+  // The primary stays unreachable, so it is finally replaced.
   for (std::uint64_t i = 50; i < 100; ++i) {
     report("1", i * 100);
     report("2", i * 100);
@@ -381,46 +384,46 @@
   CHECK(!group.Platform.Orders.empty());
 }
 
-TEST_CASE("Control_SyncedServiceIsPausedBeforeAPromotion") {
+TEST_CASE("Control_SynchronousReplicasArePausedBeforeAPromotion") {
   FakeControls group;
   group.run(milliseconds(1500));
   CHECK(put(group, 0, 1, "sync") == true);
-  sayAll(group, 1);
+  sendHeartbeats(group, 1);
   group.Platform.Statuses[InstanceId("r1")] = {
       membership::InstanceRole::Replica, {{3}, {100}}, {3}};
   group.Platform.Silent.insert(InstanceId("p"));
-  const auto miss = [&group] {
+  const auto reportSilence = [&group] {
     for (int i = 0; i < 20; ++i) {
-      reportSight(group, "10.5.0.1", 900);
-      reportSight(group, "10.5.0.2", 900);
+      reportObservation(group, "10.5.0.1", 900);
+      reportObservation(group, "10.5.0.2", 900);
       group.run(milliseconds(100));
     }
   };
-  // One replica alone may lack what the other let be acknowledged.
-  miss();
+  // A single replica may lack a commit that the other one let be acknowledged.
+  reportSilence();
   CHECK(group.Platform.Orders.empty());
   CHECK(group.Platform.Paused.empty());
   group.Platform.Statuses[InstanceId("r2")] = {
       membership::InstanceRole::Replica, {{3}, {120}}, {3}};
-  miss();
+  reportSilence();
   REQUIRE(!group.Platform.Orders.empty());
   CHECK(group.Platform.Orders.front().Instance == InstanceId("r2"));
 }
 
-TEST_CASE("Control_FencesRiseOverLeaders") {
+TEST_CASE("Control_FencesIncreaseAcrossLeaders") {
   FakeControls group;
   group.run(milliseconds(1500));
-  group.Platform.Answers = false;
+  group.Platform.AnswersOrders = false;
   std::uint64_t last = 0;
   for (int round = 0; round < 3; ++round) {
-    sayAll(group, static_cast<std::uint64_t>(round) + 1);
+    sendHeartbeats(group, static_cast<std::uint64_t>(round) + 1);
     group.Platform.Statuses[InstanceId("r1")] = {
         membership::InstanceRole::Replica, {{3}, {100}}, {3}};
     group.Platform.Silent.insert(InstanceId("p"));
     group.Platform.Orders.clear();
     for (int i = 0; i < 25; ++i) {
-      reportSight(group, "10.5.0.1", 900);
-      reportSight(group, "10.5.0.2", 900);
+      reportObservation(group, "10.5.0.1", 900);
+      reportObservation(group, "10.5.0.2", 900);
       group.run(milliseconds(100));
     }
     REQUIRE(!group.Platform.Orders.empty());
@@ -436,7 +439,7 @@
   }
 }
 
-TEST_CASE("Control_VmThatWasAwayForHundredsOfChangesCatchesUp") {
+TEST_CASE("Control_VmThatMissedHundredsOfChangesCatchesUp") {
   FakeControls group;
   group.run(milliseconds(1500));
   const std::size_t away = (group.leader() + 1) % 3;
@@ -453,14 +456,14 @@
   group.start(away);
   group.run(milliseconds(1500));
   CHECK(read(group, away) == std::to_string(Changes));
-  // It counts: with the former leader gone, the two that are left go on.
+  // It counts as a voter: without the former leader, the two others go on.
   group.kill(group.leader());
   group.run(milliseconds(3000));
   CHECK(put(group, away, Changes + 1, "after") == true);
   CHECK(read(group, away) == "after");
 }
 
-TEST_CASE("Control_NothingAcknowledgedIsLostWhenAllAreKilledAtOnce") {
+TEST_CASE("Control_NoAcknowledgedChangeIsLostWhenAllAreKilledAtOnce") {
   FakeControls group;
   group.run(milliseconds(1500));
   std::uint64_t acknowledged = 0;
--- a/src/control/tests/EntryRosterTest.cpp
+++ b/src/control/tests/EntryRosterTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What entry VMs are told of each other, and what that costs.
+/// \file Which entry VMs the notices list, and the size of the notices.
 
 #include "control/EntryRoster.h"
 
@@ -29,37 +29,37 @@
 
 } // namespace
 
-TEST_CASE("EntryRoster_TellsEachChangeOnce") {
+TEST_CASE("EntryRoster_ListsEachChangeOnce") {
   EntryRoster roster;
   roster.join("10.1.0.1", "a");
   roster.join("10.1.0.2", "b");
   peer::wire::Notice first;
-  roster.tellChanges(first);
+  roster.listChanges(first);
   CHECK(first.entries_joined_size() == 2);
   peer::wire::Notice second;
-  roster.tellChanges(second);
+  roster.listChanges(second);
   CHECK(second.ByteSizeLong() == 0);
   roster.leave("10.1.0.1");
   peer::wire::Notice third;
-  roster.tellChanges(third);
+  roster.listChanges(third);
   REQUIRE(third.entries_left_size() == 1);
   CHECK(third.entries_left(0) == "10.1.0.1");
   CHECK(third.entries_joined_size() == 0);
 }
 
-TEST_CASE("EntryRoster_VmThatCameBackInBetweenIsNoChange") {
+TEST_CASE("EntryRoster_ReconnectedVmIsNoChange") {
   EntryRoster roster;
   roster.join("10.1.0.1", "a");
   peer::wire::Notice first;
-  roster.tellChanges(first);
+  roster.listChanges(first);
   roster.leave("10.1.0.1");
   roster.join("10.1.0.1", "a");
   peer::wire::Notice second;
-  roster.tellChanges(second);
+  roster.listChanges(second);
   CHECK(second.ByteSizeLong() == 0);
 }
 
-TEST_CASE("Control_NewEntryVmIsToldAllOthersAndTheyOfIt") {
+TEST_CASE("Control_NewEntryVmAndTheOthersAreListedToEachOther") {
   FakeControls group;
   group.run(milliseconds(1500));
   connect(group, ipOf(1));
@@ -76,7 +76,7 @@
   CHECK(joined == 1);
 }
 
-TEST_CASE("Control_NoticesToAnEntryVmDontGrowWithTheirNumber") {
+TEST_CASE("Control_NoticeSizeDoesNotGrowWithTheNumberOfEntryVms") {
   FakeControls group;
   group.run(milliseconds(1500));
   for (int vm = 0; vm < Vms; ++vm)
@@ -87,7 +87,7 @@
   std::size_t bytes = 0;
   for (const auto &it : group.sentTo(ipOf(0)))
     bytes += it.ByteSizeLong();
-  // In ten seconds without a change: 7,615 bytes while each full notice named
-  // all VMs, 310 now.
+  // Ten seconds without a change: 7,615 bytes if each full notice lists all
+  // VMs, 310 if not.
   CHECK(bytes < 1000);
 }
--- a/src/control/tests/RepeatedCallTest.cpp
+++ b/src/control/tests/RepeatedCallTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A call that is made again while its first copy is on its way, or after
-/// it took effect, costs the log next to nothing and is still acknowledged only
+/// \file A call that is retried while its first copy is in flight, or after it
+/// took effect, adds almost nothing to the log and is still acknowledged only
 /// after a commit.
 
 #include "control/tests/FakeControls.h"
@@ -24,12 +24,13 @@
 namespace {
 
 constexpr std::size_t Vms = 3;
-/// A document of some 260 KB.
+/// A document of about 260 KB.
 constexpr int Routes = 1400;
 constexpr int TimeoutMs = 800;
-/// Longer than two repeats of a call, and shorter than a call's limit.
+/// Longer than two retry intervals of a call, and shorter than a call's
+/// timeout.
 constexpr Duration DiskStall = milliseconds(700);
-/// All other entries of these tests' logs together.
+/// An upper bound of all other log entries of a test together.
 constexpr std::size_t SmallEntries = 4096;
 constexpr Duration CallTime = milliseconds(1200);
 
@@ -47,7 +48,7 @@
   return (group.leader() + 1) % Vms;
 }
 
-std::size_t mostEntryBytes(const FakeControls &group) {
+std::size_t maxEntryBytes(const FakeControls &group) {
   std::size_t most = 0;
   for (std::size_t vm = 0; vm < Vms; ++vm)
     most = std::max(most, group.entryBytes(vm));
@@ -56,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("Control_CallThatWaitsForItsCommitIsInTheLogOnce") {
+TEST_CASE("Control_RetriedUncommittedCallIsInTheLogOnce") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
@@ -70,7 +71,7 @@
   }
 }
 
-TEST_CASE("Control_LargeCallIsPassedOnOnce") {
+TEST_CASE("Control_LargeCallIsForwardedOnce") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
@@ -82,29 +83,29 @@
   CHECK(group.callBytes(follower) < document.size() + SmallEntries);
 }
 
-TEST_CASE("Control_CallThatWasLostWithItsConnectionIsPassedOnAgain") {
+TEST_CASE("Control_CallLostWithItsConnectionIsForwardedAgain") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
   const std::size_t follower = followerOf(group);
-  group.cutOff(follower);
+  group.isolate(follower);
   const auto done = put(group, follower, 1, document);
   group.run(milliseconds(100));
   group.disconnect(follower);
-  group.rejoin(follower);
+  group.endIsolation(follower);
   group.reconnect(follower);
   group.run(milliseconds(100));
   CHECK(*done == true);
 }
 
-TEST_CASE("Control_CallThatDiedWithItsLeaderIsPassedOnToTheNextOne") {
+TEST_CASE("Control_CallLostWithItsLeaderIsForwardedToTheNextOne") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
   const std::size_t follower = followerOf(group);
   const std::size_t old = group.leader();
-  group.cutOff(old);
-  // The others stand for election 0.5 to 1 s after its last word.
+  group.isolate(old);
+  // The others become candidates 0.5 to 1 s after its last heartbeat.
   group.run(milliseconds(400));
   const auto done = put(group, follower, 1, document);
   group.run(milliseconds(840));
@@ -112,25 +113,25 @@
   CHECK(group.node(follower).document() == document);
 }
 
-TEST_CASE("Control_ConfigurationThatAllHoldIsAcknowledgedWithoutItsBytes") {
+TEST_CASE("Control_AppliedConfigurationIsAcknowledgedWithoutLoggingItsBytes") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
   const auto first = put(group, 0, 1, document);
   group.run(CallTime);
   CHECK(*first == true);
-  // The acknowledgement was lost, so the operator turns to each VM in turn.
+  // The acknowledgement was lost, so the operator retries at each VM in turn.
   for (std::size_t vm = 0; vm < Vms; ++vm) {
     const auto done = put(group, vm, 1, document);
     group.run(CallTime);
     CHECK(*done == true);
   }
-  CHECK(mostEntryBytes(group) < document.size() + SmallEntries);
+  CHECK(maxEntryBytes(group) < document.size() + SmallEntries);
   for (std::size_t vm = 0; vm < Vms; ++vm)
     CHECK(group.node(vm).document() == document);
 }
 
-TEST_CASE("Control_HeldConfigurationIsAcknowledgedOnlyAfterACommit") {
+TEST_CASE("Control_AppliedConfigurationIsAcknowledgedOnlyAfterACommit") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, 1, TimeoutMs);
@@ -138,26 +139,26 @@
   group.run(CallTime);
   CHECK(*first == true);
   const std::size_t old = group.leader();
-  group.cutOff(old);
+  group.isolate(old);
   const auto alone = put(group, old, 1, document);
   group.run(CallTime);
   CHECK(*alone == false);
-  // One that follows can't answer from what it holds either.
-  group.rejoin(old);
+  // A follower can't acknowledge it from its own copy either.
+  group.endIsolation(old);
   group.run(milliseconds(2500));
   const std::size_t follower = followerOf(group);
-  group.cutOff(follower);
+  group.isolate(follower);
   const auto follows = put(group, follower, 1, document);
   group.run(CallTime);
   CHECK(*follows == false);
 }
 
-TEST_CASE("Control_RepeatNeverChangesAVersionsContent") {
+TEST_CASE("Control_RetryNeverChangesAVersionsContent") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, 2, TimeoutMs);
   group.stallDisks(DiskStall);
-  // Both are on their way at once, and the later one is another document.
+  // Both are in flight at once, and the later one is another document.
   const auto first = put(group, group.leader(), 1, document);
   const auto second =
       put(group, followerOf(group), 1, routeListDocument(1, 3, TimeoutMs));
@@ -172,16 +173,16 @@
     CHECK(group.node(vm).document() == document);
 }
 
-TEST_CASE("Control_CallOfALostLeadIsTakenByTheNextLeader") {
+TEST_CASE("Control_FormerLeadersCallsAreTakenByTheNextLeader") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::size_t old = group.leader();
   const std::string document = routeListDocument(1, 2, TimeoutMs);
-  group.cutOff(old);
+  group.isolate(old);
   const auto lost = put(group, old, 1, document);
   group.run(milliseconds(2500));
   CHECK(*lost == false);
-  group.rejoin(old);
+  group.endIsolation(old);
   group.run(milliseconds(500));
   for (std::size_t vm = 0; vm < Vms; ++vm) {
     const auto done = put(group, vm, 2 + vm, document);
@@ -191,24 +192,24 @@
   }
 }
 
-TEST_CASE("Control_EntryOnALostConnectionIsSentAgainAtOnce") {
+TEST_CASE("Control_EntryLostWithItsConnectionIsResentAtOnce") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
   const std::size_t follower = followerOf(group);
-  // What is sent now doesn't arrive, and then the connection ends.
-  group.cutOff(follower);
+  // Messages sent now don't arrive, and then the connection is closed.
+  group.isolate(follower);
   const auto done = put(group, group.leader(), 1, document);
   group.run(milliseconds(100));
   CHECK(*done == true);
   group.disconnect(follower);
-  group.rejoin(follower);
+  group.endIsolation(follower);
   group.reconnect(follower);
   group.run(milliseconds(50));
   CHECK(group.node(follower).document() == document);
 }
 
-TEST_CASE("Control_EntryThatFoundNoConnectionGoesOutOnTheNextOne") {
+TEST_CASE("Control_EntryWithoutAConnectionIsSentOnTheNextOne") {
   FakeControls group(decodeRouteList);
   group.run(milliseconds(1500));
   const std::string document = routeListDocument(1, Routes, TimeoutMs);
--- a/src/control/tests/RestartedInstanceTest.cpp
+++ b/src/control/tests/RestartedInstanceTest.cpp
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Instances that start again under their id: what was learned from the
-/// earlier life neither promotes nor names one, and marks and records of it
-/// leave the next one alone.
+/// \file Instances that restart under their id: answers of the earlier
+/// incarnation lead to no promotion, and its marks and records don't apply to
+/// the next one.
 
 #include "control/ClusterState.h"
 #include "control/tests/FakeControls.h"
@@ -18,8 +18,8 @@
 
 namespace {
 
-constexpr std::uint64_t FirstLife = 1'800'000'000'000;
-constexpr std::uint64_t SecondLife = FirstLife + 60'000;
+constexpr std::uint64_t FirstStartMs = 1'800'000'000'000;
+constexpr std::uint64_t SecondStartMs = FirstStartMs + 60'000;
 
 membership::InstanceRecord instanceOf(const char *id, bool isPrimary,
                                       std::uint64_t bornMs,
@@ -35,25 +35,26 @@
   return record;
 }
 
-void say(FakeControls &group, const membership::InstanceRecord &record) {
+void sendHeartbeat(FakeControls &group,
+                   const membership::InstanceRecord &record) {
   group.node(group.leader()).instanceSaid(group.now(), record, [](bool) {});
   group.run(milliseconds(60));
 }
 
-/// A group that knows a primary and two replicas; r1 has received the most.
+/// A group with a primary and two replicas, of which r1 has received the most.
 void prepare(FakeControls &group) {
   group.run(milliseconds(1500));
-  say(group, instanceOf("p", true, FirstLife, 5));
-  say(group, instanceOf("r1", false, FirstLife, 5));
-  say(group, instanceOf("r2", false, FirstLife, 5));
+  sendHeartbeat(group, instanceOf("p", true, FirstStartMs, 5));
+  sendHeartbeat(group, instanceOf("r1", false, FirstStartMs, 5));
+  sendHeartbeat(group, instanceOf("r2", false, FirstStartMs, 5));
   group.Platform.Statuses = {
       {InstanceId("r1"), {membership::InstanceRole::Replica, {{3}, {90}}, {3}}},
       {InstanceId("r2"), {membership::InstanceRole::Replica, {{3}, {80}}, {3}}},
       {InstanceId("p"), {membership::InstanceRole::Primary, {{3}, {99}}, {3}}}};
 }
 
-/// The primary is missed by all, as it is where it has crashed, until the
-/// leader asks the replicas or names one.
+/// All VMs report the primary as silent, as after a crash, until the leader
+/// queries the replicas or promotes one.
 void losePrimary(FakeControls &group) {
   group.Platform.Statuses.erase(InstanceId("p"));
   group.Platform.Silent.insert(InstanceId("p"));
@@ -67,7 +68,7 @@
       auto &sight = *message.mutable_sights()->add_sights();
       sight.set_service("db");
       sight.set_instance("p");
-      sight.set_born_ms(FirstLife);
+      sight.set_born_ms(FirstStartMs);
       sight.set_silent_ms(static_cast<std::uint64_t>(i) * 100);
       group.sendFromOutside(ip, group.leader(), message);
     }
@@ -93,64 +94,64 @@
 
 } // namespace
 
-TEST_CASE("RestartedInstance_MarkHoldsForItsLifeAndThoseBefore") {
+TEST_CASE("RestartedInstance_MarkAppliesToItsIncarnationAndEarlierOnes") {
   ClusterState state;
-  state.apply(1, markOf(FirstLife, wire::GONE));
-  CHECK(state.lifecycleOf("i", FirstLife) == wire::GONE);
-  CHECK(state.lifecycleOf("i", SecondLife) == wire::READY);
-  state.apply(2, markOf(SecondLife, wire::LEAVING));
-  CHECK(state.lifecycleOf("i", SecondLife) == wire::LEAVING);
-  // A late good-bye of the first life.
-  state.apply(3, markOf(FirstLife, wire::GONE));
-  CHECK(state.lifecycleOf("i", SecondLife) == wire::LEAVING);
+  state.apply(1, markOf(FirstStartMs, wire::GONE));
+  CHECK(state.lifecycleOf("i", FirstStartMs) == wire::GONE);
+  CHECK(state.lifecycleOf("i", SecondStartMs) == wire::READY);
+  state.apply(2, markOf(SecondStartMs, wire::LEAVING));
+  CHECK(state.lifecycleOf("i", SecondStartMs) == wire::LEAVING);
+  // A late deregistration of the first incarnation.
+  state.apply(3, markOf(FirstStartMs, wire::GONE));
+  CHECK(state.lifecycleOf("i", SecondStartMs) == wire::LEAVING);
   ClusterState restored;
   REQUIRE(restored.restore(state.serialize()));
-  CHECK(restored.lifecycleOf("i", SecondLife) == wire::LEAVING);
-  CHECK(restored.lifecycleOf("i", SecondLife + 1) == wire::READY);
+  CHECK(restored.lifecycleOf("i", SecondStartMs) == wire::LEAVING);
+  CHECK(restored.lifecycleOf("i", SecondStartMs + 1) == wire::READY);
 }
 
-TEST_CASE("RestartedInstance_LateRecordDoesNotReplaceTheNextLife") {
+TEST_CASE("RestartedInstance_LateRecordDoesNotReplaceTheNextIncarnation") {
   ClusterState state;
-  state.apply(1, keepOf(SecondLife, "second"));
-  state.apply(2, keepOf(FirstLife, "first"));
-  state.apply(3, keepOf(FirstLife, ""));
-  state.apply(4, markOf(FirstLife, wire::GONE));
+  state.apply(1, keepOf(SecondStartMs, "second"));
+  state.apply(2, keepOf(FirstStartMs, "first"));
+  state.apply(3, keepOf(FirstStartMs, ""));
+  state.apply(4, markOf(FirstStartMs, wire::GONE));
   REQUIRE(state.instances().contains("i"));
   CHECK(state.instances().at("i").record() == "second");
-  state.apply(5, markOf(SecondLife, wire::GONE));
+  state.apply(5, markOf(SecondStartMs, wire::GONE));
   CHECK(state.instances().empty());
 }
 
-TEST_CASE("RestartedInstance_EntriesWithoutALifeStillRead") {
+TEST_CASE("RestartedInstance_EntriesWithoutAStartTimeAreStillRead") {
   ClusterState state;
   state.apply(1, keepOf(0, "old"));
   state.apply(2, markOf(0, wire::LEAVING));
   CHECK(state.lifecycleOf("i", 0) == wire::LEAVING);
-  CHECK(state.lifecycleOf("i", FirstLife) == wire::READY);
-  state.apply(3, keepOf(FirstLife, "new"));
+  CHECK(state.lifecycleOf("i", FirstStartMs) == wire::READY);
+  state.apply(3, keepOf(FirstStartMs, "new"));
   CHECK(state.instances().at("i").record() == "new");
 }
 
-TEST_CASE("RestartedInstance_QuestionsToTheEarlierLifeAreForgotten") {
+TEST_CASE("RestartedInstance_RequestsToTheEarlierIncarnationAreDropped") {
   FakeControls group;
   prepare(group);
-  say(group, instanceOf("r1", false, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("r1", false, SecondStartMs, 1));
   CHECK(group.Platform.Forgotten.contains(InstanceId("r1")));
 }
 
-TEST_CASE("RestartedInstance_AnswerOfTheEarlierLifePromotesNobody") {
+TEST_CASE("RestartedInstance_AnswerOfTheEarlierIncarnationPromotesNoInstance") {
   FakeControls group;
   prepare(group);
   group.Platform.HoldsStatuses = true;
   losePrimary(group);
   REQUIRE(group.Platform.HeldStatuses.size() >= 2);
-  // r1 is furthest, answers, and starts again before the choice.
+  // r1 is the most advanced, answers, and restarts before the choice.
   for (auto &[id, onDone] : group.Platform.HeldStatuses)
     if (id == InstanceId("r1") && onDone)
       std::exchange(onDone,
                     nullptr)(group.Platform.Statuses.at(InstanceId("r1")));
   group.Platform.Statuses[InstanceId("r1")].Received = {{3}, {0}};
-  say(group, instanceOf("r1", false, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("r1", false, SecondStartMs, 1));
   group.Platform.HoldsStatuses = false;
   for (auto &[id, onDone] : group.Platform.HeldStatuses)
     if (onDone && group.Platform.Statuses.contains(id))
@@ -161,16 +162,16 @@
     CHECK(it.Instance == InstanceId("r2"));
 }
 
-TEST_CASE("RestartedInstance_OrderForTheEarlierLifeIsGivenAnew") {
+TEST_CASE("RestartedInstance_OrderForTheEarlierIncarnationIsRepeated") {
   FakeControls group;
   prepare(group);
   group.Platform.HoldsOrders = true;
   losePrimary(group);
   REQUIRE(group.Platform.Orders.size() == 1);
   REQUIRE(group.Platform.Orders[0].Instance == InstanceId("r1"));
-  // It starts again, empty, before the order is answered.
+  // It restarts without data before the order is answered.
   group.Platform.Statuses[InstanceId("r1")].Received = {{3}, {0}};
-  say(group, instanceOf("r1", false, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("r1", false, SecondStartMs, 1));
   group.Platform.HeldOrders[0](PromotionResult::Accepted);
   group.Platform.HoldsOrders = false;
   group.run(milliseconds(200));
@@ -184,30 +185,30 @@
   FakeControls group;
   prepare(group);
   group.Platform.Statuses[InstanceId("p")].Received = {{3}, {0}};
-  say(group, instanceOf("p", true, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("p", true, SecondStartMs, 1));
   group.run(milliseconds(1000));
   REQUIRE(!group.Platform.Orders.empty());
   CHECK(group.Platform.Orders[0].Instance == InstanceId("r1"));
 }
 
-TEST_CASE("RestartedInstance_GroupThatAllStartedAnewKeepsItsPrimary") {
+TEST_CASE("RestartedInstance_FullyRestartedGroupKeepsItsPrimary") {
   FakeControls group;
   prepare(group);
   for (const char *id : {"r1", "r2"})
-    say(group, instanceOf(id, false, SecondLife, 1));
+    sendHeartbeat(group, instanceOf(id, false, SecondStartMs, 1));
   group.Platform.Orders.clear();
-  say(group, instanceOf("p", true, SecondLife, 1));
+  sendHeartbeat(group, instanceOf("p", true, SecondStartMs, 1));
   group.run(milliseconds(1000));
   CHECK(group.Platform.Orders.empty());
 }
 
-TEST_CASE("RestartedInstance_SilenceSeenOfTheEarlierLifeDoesNotCount") {
+TEST_CASE("RestartedInstance_SilenceOfTheEarlierIncarnationDoesNotCount") {
   FakeControls group;
   prepare(group);
-  // All have started anew, so the empty primary leads by its own word.
+  // All have restarted, so the empty primary stays primary by its own report.
   for (const char *id : {"r1", "r2"})
-    say(group, instanceOf(id, false, SecondLife, 1));
-  say(group, instanceOf("p", true, SecondLife, 1));
+    sendHeartbeat(group, instanceOf(id, false, SecondStartMs, 1));
+  sendHeartbeat(group, instanceOf("p", true, SecondStartMs, 1));
   losePrimary(group);
   CHECK(group.Platform.Orders.empty());
 }
--- a/src/membership/tests/HomeTableTest.cpp
+++ b/src/membership/tests/HomeTableTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Homes of instances: all VMs agree, the limit holds, work is spread,
-/// and a VM that goes moves little.
+/// \file Homes of instances: all VMs agree on them, the connection limit holds,
+/// load is spread, and a VM that leaves moves only its own part.
 
 #include "membership/HomeTable.h"
 
@@ -32,7 +32,7 @@
   return entries;
 }
 
-/// The VMs that take themselves for a home of \p instance.
+/// The VMs that are a home of \p instance by their own calculation.
 std::vector<std::string> homesOf(const std::vector<EntryVm> &entries,
                                  const std::string &instance,
                                  const std::string &hall, int usable) {
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("HomeTable_SharesNeverPassTheLimit") {
+TEST_CASE("HomeTable_SharesNeverExceedTheLimit") {
   std::mt19937_64 random(7);
   for (int i = 0; i < 60; ++i) {
     const int usable = 1 + static_cast<int>(random() % 120);
@@ -74,7 +74,7 @@
       CHECK(it.Hall == HallId("hall1"));
 }
 
-TEST_CASE("HomeTable_BorrowersAskHomesFirstAndShareThem") {
+TEST_CASE("HomeTable_BorrowersAskHomesFirstAndSpreadOverThem") {
   const auto entries = vms(70, 3);
   const auto homes = homesOf(entries, "i-1", "hall1", 49);
   std::map<std::string, int> firstChoices;
@@ -84,7 +84,7 @@
     const auto &lenders =
         table.lenders(InstanceId("i-1"), HallId("hall1"), table.share(49));
     CHECK(std::find(lenders.begin(), lenders.end(), it.Ip) == lenders.end());
-    // Six homes and seven guests, but for the VM itself.
+    // Six homes and seven non-homes, without the VM itself.
     CHECK(lenders.size() >= 12);
     CHECK(std::find(homes.begin(), homes.end(), lenders.front()) !=
           homes.end());
@@ -121,7 +121,7 @@
   CHECK(!table.isNeeded(263));
 }
 
-TEST_CASE("HomeTable_EvenSharesMakeUpTheWhole") {
+TEST_CASE("HomeTable_EvenSharesAddUpToAllConnections") {
   std::mt19937_64 random(11);
   for (int i = 0; i < 60; ++i) {
     const int count = 1 + static_cast<int>(random() % 30);
@@ -145,7 +145,7 @@
   }
 }
 
-TEST_CASE("HomeTable_WhatDoesNotGoRoundGoesToTheInstancesHallFirst") {
+TEST_CASE("HomeTable_RemainderGoesToTheInstancesHallFirst") {
   const auto entries = vms(7, 3);
   // Three VMs are in the first hall, and three connections are left over.
   for (const auto &it : entries) {
@@ -157,7 +157,7 @@
   }
 }
 
-TEST_CASE("HomeTable_WhatIsLeftAfterThatDiffersByInstance") {
+TEST_CASE("HomeTable_RemainderBeyondTheHallDiffersByInstance") {
   const auto entries = vms(8, 3);
   std::map<std::string, int> extras;
   for (int i = 0; i < 30; ++i)
@@ -180,7 +180,7 @@
   CHECK(table.evenShare(instance, hall, 40) == 10);
   table.setEntries(vms(20, 1));
   CHECK(table.evenShare(instance, hall, 40) == 2);
-  // What is left over goes by the place among the VMs of now.
+  // The remainder is assigned by the rank in the current list of VMs.
   int sum = 0;
   for (const auto &it : few) {
     HomeTable own(it.Ip);
@@ -200,21 +200,21 @@
   for (int i = 0; i < 80; ++i) {
     const OrganisationId organisation("o" + std::to_string(i));
     std::set<std::vector<std::string>> homes;
-    std::set<std::vector<std::string>> guests;
+    std::set<std::vector<std::string>> nonHomes;
     for (const auto &it : entries) {
       HomeTable table(it.Ip);
       table.setEntries(entries);
       homes.insert(table.homesOf(InstanceId("i-1"), hall, share, organisation));
-      guests.insert(
+      nonHomes.insert(
           table.guestsOf(InstanceId("i-1"), hall, share, organisation));
     }
     REQUIRE(homes.size() == 1);
-    REQUIRE(guests.size() == 1);
+    REQUIRE(nonHomes.size() == 1);
     CHECK(homes.begin()->size() == 4);
-    CHECK(guests.begin()->size() == 7);
+    CHECK(nonHomes.begin()->size() == 7);
     ++firstFor[homes.begin()->front()];
   }
-  // Each of the four is the first for a good part of the organisations.
+  // Each of the four is the first choice of many organisations.
   CHECK(firstFor.size() == 4);
   for (const auto &[ip, n] : firstFor)
     CHECK(n >= 10);
--- a/src/membership/tests/InstanceDirectoryTest.cpp
+++ b/src/membership/tests/InstanceDirectoryTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Heartbeats that come late: from an instance that has crashed, at an
-/// address where a new one has registered, in either order.
+/// \file Late heartbeats of a crashed instance, at whose address a new one has
+/// registered, in either order of arrival.
 
 #include "membership/InstanceDirectory.h"
 
@@ -28,11 +28,12 @@
 
 } // namespace
 
-TEST_CASE("InstanceDirectory_LateWordOfTheCrashedOneLeavesTheNewOneAlone") {
+TEST_CASE(
+    "InstanceDirectory_LateHeartbeatOfACrashedInstanceDoesNotAffectTheNewOne") {
   InstanceDirectory directory;
   directory.merge(Start, recordOf("old", 7, InstanceRole::Primary));
   directory.merge(Start, recordOf("new", 1, InstanceRole::Replica));
-  // Held back by a cut, and sent after the last one that was heard.
+  // Delayed by a partition, and sent after the last one that was received.
   directory.merge(Start, recordOf("old", 8, InstanceRole::Primary));
   const auto *next = directory.find(InstanceId("new"));
   REQUIRE(next);
@@ -41,7 +42,7 @@
   CHECK(next->Sequence == 1);
 }
 
-TEST_CASE("InstanceDirectory_LateWordBeforeTheNewOneIsHeardChangesNothing") {
+TEST_CASE("InstanceDirectory_LateHeartbeatBeforeTheNewInstanceChangesNothing") {
   InstanceDirectory directory;
   directory.merge(Start, recordOf("old", 9, InstanceRole::Replica));
   const auto change =
@@ -53,27 +54,27 @@
   CHECK(directory.find(InstanceId("new"))->Role == InstanceRole::Primary);
 }
 
-TEST_CASE("InstanceDirectory_LateWordDoesNotKeepTheCrashedOneForLong") {
+TEST_CASE("InstanceDirectory_LateHeartbeatDoesNotKeepACrashedInstanceForLong") {
   InstanceDirectory directory;
   constexpr Duration Silence = milliseconds(20000);
   directory.merge(Start, recordOf("old", 7, InstanceRole::Primary));
   directory.merge(Start + milliseconds(15000),
                   recordOf("old", 8, InstanceRole::Primary));
-  // An older word is no sign of life.
+  // A duplicate heartbeat doesn't count as recent.
   directory.merge(Start + milliseconds(30000),
                   recordOf("old", 8, InstanceRole::Primary));
   CHECK(directory.expire(Start + milliseconds(36000), Silence).size() == 1);
 }
 
-TEST_CASE("InstanceDirectory_LateWordDoesNotUndoThatItIsGone") {
+TEST_CASE("InstanceDirectory_LateHeartbeatDoesNotRevertGone") {
   InstanceDirectory directory;
   directory.merge(Start, recordOf("old", 7, InstanceRole::Primary));
-  REQUIRE(directory.raise(InstanceId("old"), 0, InstanceState::Gone));
+  REQUIRE(directory.raiseState(InstanceId("old"), 0, InstanceState::Gone));
   directory.merge(Start, recordOf("old", 8, InstanceRole::Primary));
   CHECK(directory.find(InstanceId("old"))->State == InstanceState::Gone);
 }
 
-TEST_CASE("InstanceDirectory_KnowsTheInstancesOfEachService") {
+TEST_CASE("InstanceDirectory_ListsTheInstancesOfEachService") {
   InstanceDirectory directory;
   auto record = recordOf("a", 1, InstanceRole::Primary);
   directory.merge(Start, record);
