--- a/src/balancing/tests/OutlierDetectorTest.cpp
+++ b/src/balancing/tests/OutlierDetectorTest.cpp
@@ -66,7 +66,7 @@
   CHECK(it.Detector.weight(it.B) == 1.0);
   REQUIRE(it.Changes.size() == 1);
   CHECK(it.Changes[0].Instance == it.A);
-  CHECK(it.Changes[0].IsHeldBack);
+  CHECK(it.Changes[0].IsOutlier);
   CHECK(it.Detector.heldBack() == 1);
 }
 
@@ -81,7 +81,7 @@
   it.answer(OutlierOptions().RecoveryTime, 1.0, 1.0, 1.0);
   CHECK(it.hasFullWeights());
   REQUIRE(it.Changes.size() == 2);
-  CHECK(!it.Changes[1].IsHeldBack);
+  CHECK(!it.Changes[1].IsOutlier);
   CHECK(it.Detector.heldBack() == 0);
 }
 
--- a/src/balancing/types/OutlierOptions.h
+++ b/src/balancing/types/OutlierOptions.h
@@ -62,7 +62,7 @@
 /// An instance has lost most of its reads, or has got all of them back.
 struct OutlierChange {
   InstanceId Instance;
-  bool IsHeldBack = false;
+  bool IsOutlier = false;
   /// As multiples of the usual time: the instance's own, and the median of its
   /// siblings.
   double Slowness = 1.0;
--- a/src/control/ClusterState.cpp
+++ b/src/control/ClusterState.cpp
@@ -79,9 +79,10 @@
 }
 
 wire::Lifecycle ClusterState::lifecycleOf(const std::string &instance,
-                                          std::uint64_t bornMs) const {
+                                          std::uint64_t startTimeMs) const {
   const auto it = Marks.find(instance);
-  const bool isMarked = it != Marks.end() && it->second.born_ms() >= bornMs;
+  const bool isMarked =
+      it != Marks.end() && it->second.born_ms() >= startTimeMs;
   return isMarked ? it->second.state() : wire::READY;
 }
 
--- a/src/control/ClusterState.h
+++ b/src/control/ClusterState.h
@@ -29,10 +29,10 @@
     return NewestConfiguration.version();
   }
   const std::string &document() const { return NewestConfiguration.document(); }
-  /// Whether the incarnation of the instance that started at \p bornMs is
+  /// Whether the incarnation of the instance that started at \p startTimeMs is
   /// leaving or has left.
   wire::Lifecycle lifecycleOf(const std::string &instance,
-                              std::uint64_t bornMs) const;
+                              std::uint64_t startTimeMs) const;
   /// The newest promotion of each service.
   const std::map<std::string, wire::RecordPromotion> &promotions() const {
     return Promotions;
--- a/src/control/ControlNode.cpp
+++ b/src/control/ControlNode.cpp
@@ -390,7 +390,7 @@
     replaceObservations(ip, sights);
   for (const auto &it : LastObservations[ip].sights()) {
     const auto *known = Directory.find(InstanceId(it.instance()));
-    const bool isOtherIncarnation = known && known->BornMs != it.born_ms();
+    const bool isOtherIncarnation = known && known->StartTimeMs != it.born_ms();
     if (!isOtherIncarnation)
       Detector.report(Now, ip, it.service(), InstanceId(it.instance()),
                       milliseconds(static_cast<std::int64_t>(it.silent_ms())));
--- a/src/control/ControlNode.h
+++ b/src/control/ControlNode.h
@@ -122,16 +122,17 @@
   }
   /// False for an instance that isn't known yet and whose service the
   /// configuration doesn't name; always true before the first configuration.
-  bool servesInstance(const membership::InstanceRecord &record) const;
-  void instanceSaid(TimePoint now, membership::InstanceRecord record,
-                    OnDone onDone);
-  /// Records that the incarnation that started at \p bornMs, or without it the
-  /// known one, has left.
-  void instanceLeft(TimePoint now, const InstanceId &id,
-                    std::optional<std::uint64_t> bornMs, OnDone onDone);
+  bool acceptsInstance(const membership::InstanceRecord &record) const;
+  void receiveHeartbeat(TimePoint now, membership::InstanceRecord record,
+                        OnDone onDone);
+  /// Records that the incarnation that started at \p startTimeMs, or without it
+  /// the known one, has left.
+  void deregisterInstance(TimePoint now, const InstanceId &id,
+                          std::optional<std::uint64_t> startTimeMs,
+                          OnDone onDone);
   /// The start time of the known incarnation of the instance in Unix ms; 0 if
   /// it hasn't reported one.
-  std::uint64_t bornOf(const InstanceId &id) const;
+  std::uint64_t startTimeOf(const InstanceId &id) const;
 
   void tick(TimePoint now);
   void persisted(TimePoint now, std::uint64_t ticket);
@@ -199,7 +200,8 @@
                       bool isFromPeer);
   /// Proposes a log entry that keeps the known record of the instance, or
   /// removes it.
-  void keepInstance(TimePoint now, const InstanceId &id, std::uint64_t bornMs);
+  void keepInstance(TimePoint now, const InstanceId &id,
+                    std::uint64_t startTimeMs);
   /// Handles an instance whose heartbeats have stopped.
   void dropInstance(TimePoint now, const membership::InstanceRecord &record);
   /// The same as updateInstance() for a record from another VM or from the log.
--- a/src/control/IPromoter.h
+++ b/src/control/IPromoter.h
@@ -71,7 +71,7 @@
   /// answer, and its connections are closed.
   virtual void forget(const InstanceId &instance) = 0;
   /// Connections to instances other than these may be closed.
-  virtual void keepOnly(const std::set<InstanceId> &instances) = 0;
+  virtual void retainConnections(const std::set<InstanceId> &instances) = 0;
 };
 
 } // namespace stepledge::control
--- a/src/control/internal/FailoverCoordinator.cpp
+++ b/src/control/internal/FailoverCoordinator.cpp
@@ -49,7 +49,7 @@
   const auto it = Node.State.promotions().find(record.Service);
   return it != Node.State.promotions().end() &&
          it->second.instance() == record.Id.str() &&
-         it->second.born_ms() == record.BornMs;
+         it->second.born_ms() == record.StartTimeMs;
 }
 
 bool FailoverCoordinator::hasLostData(const InstanceRecord &primary) const {
@@ -256,7 +256,7 @@
   PromotionOrderedAt[service] = now;
   attempt.StageStartedAt = now;
   attempt.Target = best->first;
-  attempt.TargetStartTimeMs = Node.bornOf(best->first);
+  attempt.TargetStartTimeMs = Node.startTimeOf(best->first);
   const PromotionOrder order{service, best->first, Node.Options.NodeName,
                              attempt.Fence};
   Log.decision(absl::StrCat("event=promotion_ordered service=", service,
--- a/src/control/internal/Instances.cpp
+++ b/src/control/internal/Instances.cpp
@@ -21,12 +21,13 @@
 using membership::InstanceRole;
 using membership::InstanceState;
 
-void ControlNode::instanceSaid(TimePoint now, membership::InstanceRecord record,
-                               OnDone onDone) {
+void ControlNode::receiveHeartbeat(TimePoint now,
+                                   membership::InstanceRecord record,
+                                   OnDone onDone) {
   // NOTE: a delayed heartbeat of an earlier incarnation.
-  if (record.BornMs < bornOf(record.Id))
+  if (record.StartTimeMs < startTimeOf(record.Id))
     return onDone(true);
-  const auto lifecycle = State.lifecycleOf(record.Id.str(), record.BornMs);
+  const auto lifecycle = State.lifecycleOf(record.Id.str(), record.StartTimeMs);
   record.State = std::max(record.State, static_cast<InstanceState>(lifecycle));
   updateInstance(now, record, false);
   const bool isMarked = lifecycle != wire::READY;
@@ -36,30 +37,30 @@
   auto &mark = *command.mutable_mark_instance();
   mark.set_instance(record.Id.str());
   mark.set_state(wire::LEAVING);
-  mark.set_born_ms(record.BornMs);
+  mark.set_born_ms(record.StartTimeMs);
   startCall(now, std::move(command), false, std::move(onDone));
 }
 
-bool ControlNode::servesInstance(
+bool ControlNode::acceptsInstance(
     const membership::InstanceRecord &record) const {
   const auto &newest = Configurations.newest();
   return newest.Version == 0 || newest.Services.contains(record.Service) ||
          Directory.find(record.Id) != nullptr;
 }
 
-std::uint64_t ControlNode::bornOf(const InstanceId &id) const {
+std::uint64_t ControlNode::startTimeOf(const InstanceId &id) const {
   const auto *known = Directory.find(id);
-  return known ? known->BornMs : 0;
+  return known ? known->StartTimeMs : 0;
 }
 
-void ControlNode::instanceLeft(TimePoint now, const InstanceId &id,
-                               std::optional<std::uint64_t> bornMs,
-                               OnDone onDone) {
+void ControlNode::deregisterInstance(TimePoint now, const InstanceId &id,
+                                     std::optional<std::uint64_t> startTimeMs,
+                                     OnDone onDone) {
   wire::Command command;
   auto &mark = *command.mutable_mark_instance();
   mark.set_instance(id.str());
   mark.set_state(wire::GONE);
-  mark.set_born_ms(bornMs.value_or(bornOf(id)));
+  mark.set_born_ms(startTimeMs.value_or(startTimeOf(id)));
   startCall(now, std::move(command), false, std::move(onDone));
 }
 
@@ -67,7 +68,7 @@
                                  const membership::InstanceRecord &record,
                                  bool isFromPeer) {
   auto known = record;
-  const auto lifecycle = State.lifecycleOf(known.Id.str(), known.BornMs);
+  const auto lifecycle = State.lifecycleOf(known.Id.str(), known.StartTimeMs);
   known.State = std::max(known.State, static_cast<InstanceState>(lifecycle));
   const Change change = Directory.merge(now, known);
   if (change == Change::None)
@@ -88,7 +89,7 @@
       peer::encode(*Directory.find(record.Id));
   sendToControls(message);
   if (isChanged)
-    keepInstance(now, record.Id, bornOf(record.Id));
+    keepInstance(now, record.Id, startTimeOf(record.Id));
 }
 
 void ControlNode::updateFromWire(TimePoint now,
@@ -104,9 +105,9 @@
 
 void ControlNode::discardEarlierIncarnation(
     TimePoint now, const membership::InstanceRecord &record) {
-  Log.decision(
-      absl::StrCat("event=instance_restarted instance=", record.Id.str(),
-                   " service=", record.Service, " born_ms=", record.BornMs));
+  Log.decision(absl::StrCat(
+      "event=instance_restarted instance=", record.Id.str(),
+      " service=", record.Service, " born_ms=", record.StartTimeMs));
   UnansweredPingSentAt.erase(record.Id);
   PingMissedSince.erase(record.Id);
   LastPingAt.erase(record.Id);
@@ -116,11 +117,11 @@
 }
 
 void ControlNode::keepInstance(TimePoint now, const InstanceId &id,
-                               std::uint64_t bornMs) {
+                               std::uint64_t startTimeMs) {
   wire::Command command;
   auto &keep = *command.mutable_keep_instance();
   keep.set_instance(id.str());
-  keep.set_born_ms(bornMs);
+  keep.set_born_ms(startTimeMs);
   if (const auto *known = Directory.find(id))
     keep.set_record(peer::encode(*known).SerializeAsString());
   // NOTE: no caller waits for it: the next heartbeats report the same again.
@@ -133,14 +134,14 @@
   LastPingAt.erase(record.Id);
   PingMissedSince.erase(record.Id);
   if (Node.canServe())
-    keepInstance(now, record.Id, record.BornMs);
+    keepInstance(now, record.Id, record.StartTimeMs);
 }
 
 void ControlNode::addKeptInstances(TimePoint now) {
   for (const auto &[id, it] : State.instances()) {
     const auto *known = Directory.find(InstanceId(id));
     peer::wire::Instance instance;
-    if (known && known->BornMs >= it.born_ms())
+    if (known && known->StartTimeMs >= it.born_ms())
       continue;
     // NOTE: if parsing fails, the default instance is logged as unreadable.
     (void)instance.ParseFromString(it.record());
@@ -212,6 +213,6 @@
     if (it.State != InstanceState::Gone)
       known.insert(known.end(), it.Id);
   });
-  Probe.keepOnly(known);
+  Probe.retainConnections(known);
 }
 } // namespace stepledge::control
--- a/src/control/tests/ControlNodeTest.cpp
+++ b/src/control/tests/ControlNodeTest.cpp
@@ -56,8 +56,8 @@
   for (const auto &[id, isPrimary] :
        {std::pair("p", true), std::pair("r1", false), std::pair("r2", false)})
     group.node(group.leader())
-        .instanceSaid(group.now(), instanceOf(id, isPrimary, sequence),
-                      [](bool) {});
+        .receiveHeartbeat(group.now(), instanceOf(id, isPrimary, sequence),
+                          [](bool) {});
   group.run(milliseconds(300));
 }
 
@@ -150,8 +150,8 @@
   auto leaving = instanceOf("r1", false, 2);
   leaving.State = membership::InstanceState::Leaving;
   std::optional<bool> done;
-  group.node(0).instanceSaid(group.now(), leaving,
-                             [&done](bool ok) { done = ok; });
+  group.node(0).receiveHeartbeat(group.now(), leaving,
+                                 [&done](bool ok) { done = ok; });
   group.run(milliseconds(500));
   CHECK(done == true);
   for (std::size_t vm = 0; vm < 3; ++vm)
@@ -161,13 +161,13 @@
   group.run(milliseconds(2000));
   // An entry VM that connects receives this state, in spite of a late
   // heartbeat.
-  group.node(1).instanceSaid(group.now(), instanceOf("r1", false, 3),
-                             [](bool) {});
+  group.node(1).receiveHeartbeat(group.now(), instanceOf("r1", false, 3),
+                                 [](bool) {});
   peer::wire::Hello hello;
   hello.set_ip("10.5.0.1");
   group.sentTo("10.5.0.1").clear();
   group.node(1).peerConnected("10.5.0.1", hello);
-  group.wantInstances("10.5.0.1", 1, true);
+  group.subscribeToInstances("10.5.0.1", 1, true);
   bool isLeaving = false;
   for (const auto &message : group.sentTo("10.5.0.1"))
     for (const auto &it : message.instances().instances())
@@ -187,7 +187,7 @@
   peer::wire::Hello hello;
   hello.set_ip("10.5.0.1");
   group.node(group.leader()).peerConnected("10.5.0.1", hello);
-  group.wantInstances("10.5.0.1", group.leader(), true);
+  group.subscribeToInstances("10.5.0.1", group.leader(), true);
   std::set<std::string> known;
   for (const auto &message : group.sentTo("10.5.0.1"))
     for (const auto &it : message.instances().instances())
@@ -227,26 +227,26 @@
   peer::wire::Hello hello;
   for (const char *ip : {"10.5.0.1", "10.5.0.2"}) {
     hello.set_ip(ip);
-    group.connectFromOutside(ip, vm, hello);
+    group.connectPeer(ip, vm, hello);
   }
-  group.wantInstances("10.5.0.1", vm, true);
+  group.subscribeToInstances("10.5.0.1", vm, true);
   sendHeartbeats(group, 1);
   CHECK(received("10.5.0.1") == 3);
   CHECK(received("10.5.0.2") == 0);
   // A later subscriber receives all of them.
-  group.wantInstances("10.5.0.2", vm, true);
+  group.subscribeToInstances("10.5.0.2", vm, true);
   CHECK(received("10.5.0.2") == 3);
-  group.wantInstances("10.5.0.1", vm, false);
-  group.node(vm).instanceSaid(group.now(), instanceOf("r1", true, 2),
-                              [](bool) {});
+  group.subscribeToInstances("10.5.0.1", vm, false);
+  group.node(vm).receiveHeartbeat(group.now(), instanceOf("r1", true, 2),
+                                  [](bool) {});
   group.run(milliseconds(300));
   CHECK(received("10.5.0.1") == 0);
   CHECK(received("10.5.0.2") == 1);
   // A new connection has no subscription yet.
-  group.loseFromOutside("10.5.0.2", vm);
-  group.connectFromOutside("10.5.0.2", vm, hello);
-  group.node(vm).instanceSaid(group.now(), instanceOf("r1", false, 3),
-                              [](bool) {});
+  group.disconnectPeer("10.5.0.2", vm);
+  group.connectPeer("10.5.0.2", vm, hello);
+  group.node(vm).receiveHeartbeat(group.now(), instanceOf("r1", false, 3),
+                                  [](bool) {});
   group.run(milliseconds(300));
   CHECK(received("10.5.0.2") == 0);
 }
@@ -258,11 +258,11 @@
   const auto vm = group.leader();
   peer::wire::Hello hello;
   hello.set_ip("10.5.0.1");
-  group.connectFromOutside("10.5.0.1", vm, hello);
-  group.wantInstances("10.5.0.1", vm, true);
+  group.connectPeer("10.5.0.1", vm, hello);
+  group.subscribeToInstances("10.5.0.1", vm, true);
   group.sentTo("10.5.0.1").clear();
   for (int i = 0; i < 1000; ++i)
-    group.node(vm).instanceSaid(
+    group.node(vm).receiveHeartbeat(
         group.now(), instanceOf(std::to_string(i).c_str(), i % 3 == 0, 1),
         [](bool) {});
   group.run(milliseconds(300));
@@ -286,7 +286,8 @@
     const std::string name = std::to_string(i);
     auto record = instanceOf(name.c_str(), true, 1);
     record.Service = "db" + name;
-    group.node(group.leader()).instanceSaid(group.now(), record, [](bool) {});
+    group.node(group.leader()).receiveHeartbeat(group.now(), record, [](bool) {
+    });
   }
   group.run(milliseconds(300));
   const InstanceId suspect("7");
--- a/src/control/tests/FakeControls.cpp
+++ b/src/control/tests/FakeControls.cpp
@@ -133,8 +133,8 @@
     Group->Packets.push_back({Number, i, message});
     return true;
   }
-  if (Group->OnSentOutside)
-    Group->OnSentOutside(Number, ip, message);
+  if (Group->OnSentToEntry)
+    Group->OnSentToEntry(Number, ip, message);
   else
     Group->ToEntries[ip].push_back(message);
   return true;
@@ -145,8 +145,8 @@
   for (std::size_t i = 0; i < Size; ++i) {
     if (i == vm)
       continue;
-    loseFromOutside(ipOf(vm), i);
-    loseFromOutside(ipOf(i), vm);
+    disconnectPeer(ipOf(vm), i);
+    disconnectPeer(ipOf(i), vm);
   }
 }
 
@@ -158,9 +158,9 @@
     if (i == vm)
       continue;
     hello.set_ip(ipOf(vm));
-    connectFromOutside(ipOf(vm), i, hello);
+    connectPeer(ipOf(vm), i, hello);
     hello.set_ip(ipOf(i));
-    connectFromOutside(ipOf(i), vm, hello);
+    connectPeer(ipOf(i), vm, hello);
   }
 }
 
@@ -174,26 +174,26 @@
     reconnect(vm);
 }
 
-void FakeControls::connectFromOutside(const std::string &ip, std::size_t vm,
-                                      const peer::wire::Hello &hello) {
+void FakeControls::connectPeer(const std::string &ip, std::size_t vm,
+                               const peer::wire::Hello &hello) {
   Vms[vm].Node->setTime(Now);
   Vms[vm].Node->peerConnected(ip, hello);
 }
 
-void FakeControls::sendFromOutside(const std::string &ip, std::size_t vm,
-                                   const peer::wire::Message &message) {
+void FakeControls::sendFromPeer(const std::string &ip, std::size_t vm,
+                                const peer::wire::Message &message) {
   Vms[vm].Node->setTime(Now);
   Vms[vm].Node->peerSaid(ip, message);
 }
 
-void FakeControls::wantInstances(const std::string &ip, std::size_t vm,
-                                 bool isWanted) {
+void FakeControls::subscribeToInstances(const std::string &ip, std::size_t vm,
+                                        bool isWanted) {
   peer::wire::Message message;
   message.mutable_instances_wanted()->set_is_wanted(isWanted);
-  sendFromOutside(ip, vm, message);
+  sendFromPeer(ip, vm, message);
 }
 
-void FakeControls::loseFromOutside(const std::string &ip, std::size_t vm) {
+void FakeControls::disconnectPeer(const std::string &ip, std::size_t vm) {
   Vms[vm].Node->setTime(Now);
   Vms[vm].Node->peerLost(ip, peer::LinkEnd::Silent);
 }
--- a/src/control/tests/FakeControls.h
+++ b/src/control/tests/FakeControls.h
@@ -62,7 +62,7 @@
       if (id == instance && onDone)
         std::exchange(onDone, nullptr)(std::nullopt);
   }
-  void keepOnly(const std::set<InstanceId> &instances) override {
+  void retainConnections(const std::set<InstanceId> &instances) override {
     (void)instances;
   }
 
@@ -119,14 +119,15 @@
   std::size_t entryBytes(std::size_t vm) const { return Vms[vm].EntryBytes; }
 
   /// Events on the connection of an entry VM at \p ip to \p vm.
-  void connectFromOutside(const std::string &ip, std::size_t vm,
-                          const peer::wire::Hello &hello);
-  void sendFromOutside(const std::string &ip, std::size_t vm,
-                       const peer::wire::Message &message);
+  void connectPeer(const std::string &ip, std::size_t vm,
+                   const peer::wire::Hello &hello);
+  void sendFromPeer(const std::string &ip, std::size_t vm,
+                    const peer::wire::Message &message);
   /// Starts or ends the subscription of the entry VM at \p ip to the instances
   /// at \p vm.
-  void wantInstances(const std::string &ip, std::size_t vm, bool isWanted);
-  void loseFromOutside(const std::string &ip, std::size_t vm);
+  void subscribeToInstances(const std::string &ip, std::size_t vm,
+                            bool isWanted);
+  void disconnectPeer(const std::string &ip, std::size_t vm);
   static std::string ipOf(std::size_t vm) {
     return "10.0.0." + std::to_string(vm + 1);
   }
@@ -135,7 +136,7 @@
   /// them.
   std::function<void(std::size_t vm, const std::string &ip,
                      const peer::wire::Message &message)>
-      OnSentOutside;
+      OnSentToEntry;
 
   FakePlatform Platform;
 
--- a/src/control/tests/GroupReturnTest.cpp
+++ b/src/control/tests/GroupReturnTest.cpp
@@ -43,7 +43,7 @@
 /// an older one as fresh.
 std::set<std::size_t> restartAndCollectFresh(FakeControls &group) {
   std::set<std::size_t> fresh;
-  group.OnSentOutside = [&](std::size_t vm, const std::string &ip,
+  group.OnSentToEntry = [&](std::size_t vm, const std::string &ip,
                             const peer::wire::Message &message) {
     CHECK(ip == EntryIp);
     if (!message.notice().is_fresh())
@@ -53,9 +53,9 @@
   };
   group.restartAll();
   for (std::size_t vm = 0; vm < 3; ++vm)
-    group.connectFromOutside(EntryIp, vm, entryHello());
+    group.connectPeer(EntryIp, vm, entryHello());
   group.run(NoticeLimit);
-  group.OnSentOutside = nullptr;
+  group.OnSentToEntry = nullptr;
   return fresh;
 }
 
@@ -85,15 +85,15 @@
     group.kill(late);
     group.run(milliseconds(1000 + place));
     group.start(late);
-    group.connectFromOutside(EntryIp, late, entryHello());
+    group.connectPeer(EntryIp, late, entryHello());
     group.reconnect(late);
     bool isNotified = false;
-    group.OnSentOutside = [&](std::size_t vm, const std::string &,
+    group.OnSentToEntry = [&](std::size_t vm, const std::string &,
                               const peer::wire::Message &message) {
       isNotified |= vm == late && message.notice().is_fresh();
     };
     group.run(milliseconds(50));
-    group.OnSentOutside = nullptr;
+    group.OnSentToEntry = nullptr;
     notified += isNotified;
   }
   CHECK(notified == 10);
--- a/src/control/tests/RestartedInstanceTest.cpp
+++ b/src/control/tests/RestartedInstanceTest.cpp
@@ -22,7 +22,7 @@
 constexpr std::uint64_t SecondStartMs = FirstStartMs + 60'000;
 
 membership::InstanceRecord instanceOf(const char *id, bool isPrimary,
-                                      std::uint64_t bornMs,
+                                      std::uint64_t startTimeMs,
                                       std::uint64_t sequence) {
   membership::InstanceRecord record;
   record.Id = InstanceId(id);
@@ -30,14 +30,14 @@
   record.Address = std::string("10.1.0.1:") + id;
   record.Role = isPrimary ? membership::InstanceRole::Primary
                           : membership::InstanceRole::Replica;
-  record.BornMs = bornMs;
+  record.StartTimeMs = startTimeMs;
   record.Sequence = sequence;
   return record;
 }
 
 void sendHeartbeat(FakeControls &group,
                    const membership::InstanceRecord &record) {
-  group.node(group.leader()).instanceSaid(group.now(), record, [](bool) {});
+  group.node(group.leader()).receiveHeartbeat(group.now(), record, [](bool) {});
   group.run(milliseconds(60));
 }
 
@@ -70,24 +70,24 @@
       sight.set_instance("p");
       sight.set_born_ms(FirstStartMs);
       sight.set_silent_ms(static_cast<std::uint64_t>(i) * 100);
-      group.sendFromOutside(ip, group.leader(), message);
+      group.sendFromPeer(ip, group.leader(), message);
     }
     group.run(milliseconds(100));
   }
 }
 
-wire::Command markOf(std::uint64_t bornMs, wire::Lifecycle state) {
+wire::Command markOf(std::uint64_t startTimeMs, wire::Lifecycle state) {
   wire::Command command;
   command.mutable_mark_instance()->set_instance("i");
-  command.mutable_mark_instance()->set_born_ms(bornMs);
+  command.mutable_mark_instance()->set_born_ms(startTimeMs);
   command.mutable_mark_instance()->set_state(state);
   return command;
 }
 
-wire::Command keepOf(std::uint64_t bornMs, const std::string &record) {
+wire::Command keepOf(std::uint64_t startTimeMs, const std::string &record) {
   wire::Command command;
   command.mutable_keep_instance()->set_instance("i");
-  command.mutable_keep_instance()->set_born_ms(bornMs);
+  command.mutable_keep_instance()->set_born_ms(startTimeMs);
   command.mutable_keep_instance()->set_record(record);
   return command;
 }
--- a/src/entry/EntryModule.cpp
+++ b/src/entry/EntryModule.cpp
@@ -104,7 +104,7 @@
     Core.abortTransactions(now);
   const bool mayClose = Stop->mayCloseSessions(now);
   if (mayClose) {
-    Core.beginToClose();
+    Core.beginShutdown();
     Core.closeIdleSessions(now, RestBeforeEnd);
   }
   const bool isEmpty =
--- a/src/entry/EntryNode.cpp
+++ b/src/entry/EntryNode.cpp
@@ -26,7 +26,7 @@
   if (TickedAt != TimePoint{} && now - TickedAt > Options.StandstillLimit) {
     Log.decision(absl::StrCat("event=stood_still for_ms=",
                               toMilliseconds(now - TickedAt)));
-    Proxy.forgetProofs();
+    Proxy.clearProofs();
   }
   TickedAt = now;
   Now = now;
@@ -34,7 +34,7 @@
     StartedAt = now;
   Proxy.tick(now);
   reviewSources();
-  const auto sights = Proxy.primarySights(now);
+  const auto sights = Proxy.primaryObservations(now);
   checkIsolation(sights);
   const bool isAlarmed =
       std::any_of(sights.begin(), sights.end(),
@@ -69,7 +69,7 @@
     auto &sight = *message.mutable_sights()->add_sights();
     sight.set_service(it.Service);
     sight.set_instance(it.Primary.str());
-    sight.set_born_ms(it.BornMs);
+    sight.set_born_ms(it.StartTimeMs);
     sight.set_silent_ms(
         static_cast<std::uint64_t>(toMilliseconds(it.SilentFor)));
   }
--- a/src/entry/LendingService.cpp
+++ b/src/entry/LendingService.cpp
@@ -81,7 +81,7 @@
   for (const auto &it : gone) {
     Log.decision(absl::StrCat("event=borrower_silent ip=", it, " for_ms=",
                               toMilliseconds(now - Known[it].HeardAt),
-                              " uses=", Proxy->lender().usesOf(it)));
+                              " uses=", Proxy->lender().borrowNumbersOf(it)));
     peerLost(it, peer::LinkEnd::Silent);
   }
 }
--- a/src/entry/QuotaService.cpp
+++ b/src/entry/QuotaService.cpp
@@ -47,7 +47,7 @@
 }
 
 void QuotaService::keepHomes() {
-  auto ips = Ledger.homesToKeep();
+  auto ips = Ledger.homesToConnect();
   if (ips.empty())
     FarHomes.clear();
   ips.insert(FarHomes.begin(), FarHomes.end());
@@ -96,8 +96,8 @@
   return Homes.send(ip, message);
 }
 
-void QuotaService::answerAsker(const std::string &ip,
-                               const quota::QuotaGrant &grant) {
+void QuotaService::sendGrant(const std::string &ip,
+                             const quota::QuotaGrant &grant) {
   peer::wire::Message message;
   auto &out = *message.mutable_quota_grant();
   out.set_number(grant.Number);
--- a/src/entry/QuotaService.h
+++ b/src/entry/QuotaService.h
@@ -58,8 +58,8 @@
                 const peer::wire::Message &message) override;
 
   bool askHome(const std::string &ip, const quota::QuotaAsk &ask) override;
-  void answerAsker(const std::string &ip,
-                   const quota::QuotaGrant &grant) override;
+  void sendGrant(const std::string &ip,
+                 const quota::QuotaGrant &grant) override;
   void quotaChanged(const OrganisationId &organisation) override;
 
 private:
--- a/src/entry/tests/BorrowedConnectionsTest.cpp
+++ b/src/entry/tests/BorrowedConnectionsTest.cpp
@@ -7,7 +7,7 @@
 
 #include "proxy/tests/FakeIo.h"
 
-#include "quota/tests/NoQuota.h"
+#include "quota/tests/FakeQuota.h"
 
 #include <doctest/doctest.h>
 
@@ -72,7 +72,7 @@
   FakeHub Hub;
   proxy::tests::FakeIo Io;
   BorrowedConnections Borrowed;
-  quota::tests::NoQuota Quota;
+  quota::tests::FakeQuota Quota;
   proxy::Proxy Core;
   TimePoint Now = TimePoint(std::chrono::seconds(5));
 };
@@ -147,7 +147,7 @@
   statement.Kind = proxy::StatementKind::Write;
   statement.Text = "WRITE x 1";
   it.Hub.Sent.clear();
-  it.Core.clientAsked(it.Now, client, statement);
+  it.Core.statementReceived(it.Now, client, statement);
   REQUIRE(it.Hub.Kept.size() == 2);
   CHECK(it.Hub.Sent.empty());
   for (const auto &ip : std::set(it.Hub.Kept))
--- a/src/entry/tests/EntryFixture.h
+++ b/src/entry/tests/EntryFixture.h
@@ -10,7 +10,7 @@
 
 #include "distribution/ChangeCodec.h"
 #include "proxy/tests/FakeIo.h"
-#include "quota/tests/NoQuota.h"
+#include "quota/tests/FakeQuota.h"
 
 #include <string>
 #include <utility>
@@ -109,7 +109,7 @@
     statement.Id = "id-" + text;
     statement.Kind = kind;
     statement.Text = text;
-    Core.clientAsked(Now, client, std::move(statement));
+    Core.statementReceived(Now, client, std::move(statement));
   }
 
   /// Neither the primary nor a majority of the control VMs is heard, the own
@@ -139,7 +139,7 @@
   proxy::tests::FakeIo Io;
   SentToControl Control;
   TimePoint Now = TimePoint(std::chrono::seconds(5));
-  quota::tests::NoQuota Quota;
+  quota::tests::FakeQuota Quota;
   proxy::Proxy Core;
   EntryNode Node;
 };
--- a/src/entry/tests/LendingScheduleTest.cpp
+++ b/src/entry/tests/LendingScheduleTest.cpp
@@ -9,7 +9,7 @@
 #include "entry/LendingService.h"
 #include "proxy/tests/ScheduledClients.h"
 
-#include "quota/tests/NoQuota.h"
+#include "quota/tests/FakeQuota.h"
 
 #include <doctest/doctest.h>
 
@@ -177,7 +177,7 @@
   NumberedSockets Sockets;
   BorrowedConnections Borrowed;
   LendingService Lending;
-  quota::tests::NoQuota Quota;
+  quota::tests::FakeQuota Quota;
   proxy::Proxy Core;
 };
 
@@ -253,7 +253,7 @@
     Net.setVms(&Vms);
     // From two to eight connections for seven VMs, so that homes are needed.
     const int most = 6 + static_cast<int>(seed % 7);
-    Group.setMostConnections(static_cast<std::size_t>(most));
+    Group.setMaxConnections(static_cast<std::size_t>(most));
     std::vector<membership::EntryVm> entries;
     for (std::size_t i = 0; i < VmCount; ++i)
       entries.push_back({ipOf(i), HallId(i % 2 ? "a" : "b")});
@@ -288,7 +288,7 @@
       step();
     CHECK(Clients.check() == "");
     for (const auto &it : Vms)
-      CHECK_MESSAGE(it->Core.lender().oldestUse(Now) < milliseconds(1000),
+      CHECK_MESSAGE(it->Core.lender().oldestBorrowAge(Now) < milliseconds(1000),
                     "a use was left behind");
     CHECK(Clients.succeeded() > 100);
   }
--- a/src/entry/tests/NarrowFleet.cpp
+++ b/src/entry/tests/NarrowFleet.cpp
@@ -54,19 +54,20 @@
   for (std::size_t vm = 0; vm < ControlVms; ++vm)
     if (Fleet.HeardAt.contains(vm) &&
         ip == control::tests::FakeControls::ipOf(vm))
-      Fleet.Controls.sendFromOutside(EntryIp, vm, message);
+      Fleet.Controls.sendFromPeer(EntryIp, vm, message);
   return true;
 }
 
 NarrowFleet::NarrowFleet()
     : Controls(control::tests::decodeRouteList), Link(LinkBytesPerSecond) {
-  Controls.OnSentOutside = [this](std::size_t vm, const std::string &ip,
+  Controls.OnSentToEntry = [this](std::size_t vm, const std::string &ip,
                                   const peer::wire::Message &message) {
     if (ip == EntryIp && HeardAt.contains(vm))
       toEntry(vm, message);
   };
   run(milliseconds(1500));
-  Controls.node(Controls.leader()).instanceSaid(now(), primary(), [](bool) {});
+  Controls.node(Controls.leader()).receiveHeartbeat(now(), primary(), [](bool) {
+  });
   run(milliseconds(300));
 }
 
@@ -162,14 +163,14 @@
   hello.set_ip(EntryIp);
   hello.set_hall("a");
   hello.set_kind(peer::wire::ENTRY);
-  Controls.connectFromOutside(EntryIp, vm, hello);
+  Controls.connectPeer(EntryIp, vm, hello);
   Entry->Node.peerConnected(control::tests::FakeControls::ipOf(vm), {});
 }
 
 void NarrowFleet::lose(std::size_t vm) {
   HeardAt.erase(vm);
   Link.drop(static_cast<int>(vm));
-  Controls.loseFromOutside(EntryIp, vm);
+  Controls.disconnectPeer(EntryIp, vm);
   Entry->Node.peerLost(control::tests::FakeControls::ipOf(vm),
                        peer::LinkEnd::Silent);
 }
--- a/src/entry/tests/NarrowFleet.h
+++ b/src/entry/tests/NarrowFleet.h
@@ -12,7 +12,7 @@
 #include "entry/tests/NarrowLink.h"
 #include "proxy/tests/FakeIo.h"
 
-#include "quota/tests/NoQuota.h"
+#include "quota/tests/FakeQuota.h"
 
 #include <map>
 #include <memory>
@@ -63,7 +63,7 @@
 
     NarrowFleet &Fleet;
     proxy::tests::FakeIo Io;
-    quota::tests::NoQuota Quota;
+    quota::tests::FakeQuota Quota;
     proxy::Proxy Core;
     EntryNode Node;
   };
--- a/src/entry/tests/StopTest.cpp
+++ b/src/entry/tests/StopTest.cpp
@@ -61,7 +61,7 @@
     statement.Id = "1";
     statement.Kind = kind;
     statement.Text = "READ x";
-    Module.proxy().clientAsked(Now, client, std::move(statement));
+    Module.proxy().statementReceived(Now, client, std::move(statement));
   }
 
   bool isEnded(ClientId client) const {
--- a/src/entry/tests/TightFleet.cpp
+++ b/src/entry/tests/TightFleet.cpp
@@ -116,7 +116,7 @@
   Sender ToBorrowers;
   BorrowedConnections Borrowed;
   LendingService Lending;
-  quota::tests::NoQuota Quota;
+  quota::tests::FakeQuota Quota;
   proxy::Proxy Core;
 };
 
@@ -204,7 +204,7 @@
   statement.Kind = kind;
   statement.Text =
       kind == proxy::StatementKind::Commit ? "COMMIT" : "WRITE x 1";
-  Vms[Clients[client].Vm]->Core.clientAsked(Now, client, statement);
+  Vms[Clients[client].Vm]->Core.statementReceived(Now, client, statement);
 }
 
 void TightFleet::answered(proxy::ClientId client,
@@ -227,8 +227,9 @@
       send(client, proxy::StatementKind::Commit);
     });
   }
-  after(milliseconds(1),
-        [this, client, vm = it.Vm] { Vms[vm]->Core.clientLeft(Now, client); });
+  after(milliseconds(1), [this, client, vm = it.Vm] {
+    Vms[vm]->Core.clientDisconnected(Now, client);
+  });
   Clients.erase(found);
 }
 
--- a/src/entry/tests/TightFleet.h
+++ b/src/entry/tests/TightFleet.h
@@ -9,7 +9,7 @@
 
 #include "entry/BorrowedConnections.h"
 #include "entry/LendingService.h"
-#include "quota/tests/NoQuota.h"
+#include "quota/tests/FakeQuota.h"
 
 #include <array>
 #include <deque>
--- a/src/gateway/EntrySockets.cpp
+++ b/src/gateway/EntrySockets.cpp
@@ -79,9 +79,9 @@
     reply.Detail = "connect first";
     return rejectClient(id, reply);
   }
-  Proxy->clientAsked(Clock(), id,
-                     statement ? std::move(*statement)
-                               : proxy::ClientStatement());
+  Proxy->statementReceived(Clock(), id,
+                           statement ? std::move(*statement)
+                                     : proxy::ClientStatement());
 }
 
 void EntrySockets::drop(ClientId id) {
@@ -95,7 +95,7 @@
     return Proxy->clientDropped(Clock(), id, SessionEnd::LineTooLong);
   if (end == lines::SocketEnd::NotRead)
     return Proxy->clientDropped(Clock(), id, SessionEnd::NotRead);
-  Proxy->clientLeft(Clock(), id);
+  Proxy->clientDisconnected(Clock(), id);
 }
 
 void EntrySockets::acceptClient(ClientId client) {
--- a/src/gateway/InstanceProbe.cpp
+++ b/src/gateway/InstanceProbe.cpp
@@ -115,7 +115,7 @@
     lost(instance, it->second.Number);
 }
 
-void InstanceProbe::keepOnly(const std::set<InstanceId> &instances) {
+void InstanceProbe::retainConnections(const std::set<InstanceId> &instances) {
   std::vector<std::pair<InstanceId, std::uint64_t>> unwanted;
   for (const auto &[id, it] : Connections) {
     if (!instances.contains(id) && it.Questions.isEmpty())
--- a/src/gateway/InstanceProbe.h
+++ b/src/gateway/InstanceProbe.h
@@ -35,7 +35,7 @@
   void ping(const membership::InstanceRecord &instance,
             std::function<void(bool)> onDone) override;
   void forget(const InstanceId &instance) override;
-  void keepOnly(const std::set<InstanceId> &instances) override;
+  void retainConnections(const std::set<InstanceId> &instances) override;
 
 private:
   struct Connection {
--- a/src/gateway/tests/EntrySocketsTest.cpp
+++ b/src/gateway/tests/EntrySocketsTest.cpp
@@ -9,7 +9,7 @@
 #include "gateway/tests/PlainCodec.h"
 #include "proxy/tests/FakeIo.h"
 
-#include "quota/tests/NoQuota.h"
+#include "quota/tests/FakeQuota.h"
 
 #include <doctest/doctest.h>
 
@@ -78,7 +78,7 @@
   proxy::tests::FakeIo Log;
   NoPeers Peers;
   entry::BorrowedConnections Connections{Sockets, Peers, Log};
-  quota::tests::NoQuota Quota;
+  quota::tests::FakeQuota Quota;
   proxy::Proxy Core{{}, Connections, Log, Log, Quota};
 };
 
--- a/src/gateway/tests/InstanceProbeTest.cpp
+++ b/src/gateway/tests/InstanceProbeTest.cpp
@@ -89,6 +89,6 @@
   for (int i = 0; i < 3; ++i)
     instance.say("ok");
   REQUIRE(runUntil(it.Context, [&] { return it.Answer.has_value(); }));
-  it.Probe.keepOnly({InstanceId("i-2")});
+  it.Probe.retainConnections({InstanceId("i-2")});
   CHECK(runUntil(it.Context, [&] { return instance.IsOver; }));
 }
--- a/src/membership/HomeTable.cpp
+++ b/src/membership/HomeTable.cpp
@@ -47,7 +47,7 @@
       std::clamp(usable / Options.MinConnections, 1, Options.MaxHomes);
   share.Connections =
       std::max(1, (usable - usable / Options.NonHomeDivisor) / share.Homes);
-  share.Guests = std::max(0, usable - share.Homes * share.Connections);
+  share.NonHomes = std::max(0, usable - share.Homes * share.Connections);
   return share;
 }
 
@@ -97,10 +97,11 @@
 }
 
 std::vector<std::string>
-HomeTable::guestsOf(const InstanceId &instance, const HallId &hall,
-                    const HomeShare &share,
-                    const OrganisationId &organisation) {
-  return ordered(ranking(instance, hall, share).Guests, instance, organisation);
+HomeTable::nonHomesOf(const InstanceId &instance, const HallId &hall,
+                      const HomeShare &share,
+                      const OrganisationId &organisation) {
+  return ordered(ranking(instance, hall, share).NonHomes, instance,
+                 organisation);
 }
 
 const HomeTable::Ranking &HomeTable::ranking(const InstanceId &instance,
@@ -128,7 +129,7 @@
            std::tuple(!std::get<bool>(b), std::get<std::uint64_t>(b));
   });
   const auto nonHomes =
-      std::min(ranked.size() - count, static_cast<std::size_t>(share.Guests));
+      std::min(ranked.size() - count, static_cast<std::size_t>(share.NonHomes));
   ranked.erase(end + static_cast<std::ptrdiff_t>(nonHomes), ranked.end());
   // Each VM has its own order of the homes, so that borrowing is spread over
   // them.
@@ -140,7 +141,7 @@
   ranking.Share = share;
   for (auto it = ranked.begin(); it != ranked.end(); ++it) {
     const auto &ip = std::get<std::string>(*it);
-    (it < end ? ranking.Homes : ranking.Guests).push_back(ip);
+    (it < end ? ranking.Homes : ranking.NonHomes).push_back(ip);
     if (ip != OwnIp)
       ranking.Lenders.push_back(ip);
     else
--- a/src/membership/HomeTable.h
+++ b/src/membership/HomeTable.h
@@ -37,7 +37,7 @@
   /// are within the limit.
   int Connections = 1;
   /// The number of non-home VMs that may hold one connection each.
-  int Guests = 0;
+  int NonHomes = 0;
   bool operator==(const HomeShare &) const = default;
 };
 
@@ -76,9 +76,10 @@
                                    const OrganisationId &organisation);
   /// The non-home VMs that may hold one connection, in an order that differs by
   /// \p organisation, so that requests are spread over them.
-  std::vector<std::string> guestsOf(const InstanceId &instance,
-                                    const HallId &hall, const HomeShare &share,
-                                    const OrganisationId &organisation);
+  std::vector<std::string> nonHomesOf(const InstanceId &instance,
+                                      const HallId &hall,
+                                      const HomeShare &share,
+                                      const OrganisationId &organisation);
 
 private:
   struct Ranking {
@@ -86,7 +87,7 @@
     bool IsHome = false;
     std::vector<std::string> Lenders;
     std::vector<std::string> Homes;
-    std::vector<std::string> Guests;
+    std::vector<std::string> NonHomes;
   };
   /// How many VMs precede this one when the remainder of the connections to the
   /// instance is assigned.
--- a/src/membership/InstanceDirectory.cpp
+++ b/src/membership/InstanceDirectory.cpp
@@ -9,13 +9,13 @@
 
 InstanceRecord merged(const InstanceRecord &known,
                       const InstanceRecord &update) {
-  if (update.BornMs < known.BornMs)
+  if (update.StartTimeMs < known.StartTimeMs)
     return known;
-  if (update.BornMs > known.BornMs) {
+  if (update.StartTimeMs > known.StartTimeMs) {
     InstanceRecord next = update;
     // NOTE: a start time reported for the first time is no restart: the
     // instance may have started long ago.
-    next.HasRestarted |= known.BornMs != 0;
+    next.HasRestarted |= known.StartTimeMs != 0;
     return next;
   }
   InstanceRecord next = update.isNewerThan(known) ? update : known;
@@ -32,7 +32,7 @@
   }
   auto &known = it->second;
   const InstanceRecord next = merged(known.Record, record);
-  const bool isLaterIncarnation = next.BornMs > known.Record.BornMs;
+  const bool isLaterIncarnation = next.StartTimeMs > known.Record.StartTimeMs;
   const bool isNewer = next.isNewerThan(known.Record);
   InstanceRecord same = next;
   same.Sequence = known.Record.Sequence;
@@ -51,13 +51,14 @@
   return isNewer ? Change::Alive : Change::None;
 }
 
-bool InstanceDirectory::raiseState(const InstanceId &id, std::uint64_t bornMs,
+bool InstanceDirectory::raiseState(const InstanceId &id,
+                                   std::uint64_t startTimeMs,
                                    InstanceState state) {
   const auto it = Instances.find(id);
   if (it == Instances.end())
     return false;
   auto &record = it->second.Record;
-  if (record.BornMs != bornMs || record.State >= state)
+  if (record.StartTimeMs != startTimeMs || record.State >= state)
     return false;
   record.State = state;
   return true;
--- a/src/membership/InstanceDirectory.h
+++ b/src/membership/InstanceDirectory.h
@@ -38,9 +38,9 @@
 public:
   /// Merges a record received from the instance or from another VM.
   Change merge(TimePoint now, const InstanceRecord &record);
-  /// Permanently raises the state of the incarnation that started at \p bornMs
-  /// to \p state.
-  bool raiseState(const InstanceId &id, std::uint64_t bornMs,
+  /// Permanently raises the state of the incarnation that started at \p
+  /// startTimeMs to \p state.
+  bool raiseState(const InstanceId &id, std::uint64_t startTimeMs,
                   InstanceState state);
   const InstanceRecord *find(const InstanceId &id) const;
   std::vector<InstanceRecord> all() const;
--- a/src/membership/tests/HomeTableTest.cpp
+++ b/src/membership/tests/HomeTableTest.cpp
@@ -61,7 +61,7 @@
     const auto share = table.share(usable);
     CHECK(!homes.empty());
     CHECK(static_cast<int>(homes.size()) <= share.Homes);
-    CHECK(share.Homes * share.Connections + share.Guests <= usable);
+    CHECK(share.Homes * share.Connections + share.NonHomes <= usable);
   }
 }
 
@@ -206,7 +206,7 @@
       table.setEntries(entries);
       homes.insert(table.homesOf(InstanceId("i-1"), hall, share, organisation));
       nonHomes.insert(
-          table.guestsOf(InstanceId("i-1"), hall, share, organisation));
+          table.nonHomesOf(InstanceId("i-1"), hall, share, organisation));
     }
     REQUIRE(homes.size() == 1);
     REQUIRE(nonHomes.size() == 1);
--- a/src/membership/types/InstanceRecord.h
+++ b/src/membership/types/InstanceRecord.h
@@ -32,7 +32,7 @@
   /// The start time of this incarnation in Unix ms by the instance's own clock;
   /// 0 if the instance doesn't report it. An instance that restarts under its
   /// id has lost its data and restarts its sequence.
-  std::uint64_t BornMs = 0;
+  std::uint64_t StartTimeMs = 0;
   /// The number of the heartbeat within this incarnation; a lower one is late.
   std::uint64_t Sequence = 0;
   /// An earlier incarnation under this id was known: the instance has lost its
@@ -41,8 +41,8 @@
 
   /// A later incarnation takes precedence, then a later heartbeat.
   bool isNewerThan(const InstanceRecord &other) const {
-    return std::pair(BornMs, Sequence) >
-           std::pair(other.BornMs, other.Sequence);
+    return std::pair(StartTimeMs, Sequence) >
+           std::pair(other.StartTimeMs, other.Sequence);
   }
 
   bool operator==(const InstanceRecord &) const = default;
--- a/src/node/EntryProgram.cpp
+++ b/src/node/EntryProgram.cpp
@@ -66,10 +66,10 @@
   page.set("configuration_version",
            static_cast<double>(proxy.configurationVersion()));
   page.set("instances_held_back",
-           static_cast<double>(proxy.heldBackInstances()));
+           static_cast<double>(proxy.outlierInstances()));
   page.set(
       "organisations_held_back",
-      static_cast<double>(proxy.heldBackOrganisations(observe::readClock())));
+      static_cast<double>(proxy.organisationsOverShare(observe::readClock())));
   setTraffic(Entry.traffic(), page);
 }
 
@@ -84,7 +84,7 @@
   Loop.metrics().count("retries_total", std::string(nameOf(code)));
 }
 
-void EntryProgram::refusedForRoom(bool isAtOnce) {
+void EntryProgram::refusedForCapacity(bool isAtOnce) {
   Loop.metrics().count("room_refusals_total", isAtOnce ? "at_once" : "waited");
 }
 
--- a/src/node/EntryProgram.h
+++ b/src/node/EntryProgram.h
@@ -43,7 +43,7 @@
   void decision(const std::string &line) override;
   void answered(proxy::ReplyCode code, Duration took) override;
   void retried(proxy::ReplyCode code) override;
-  void refusedForRoom(bool isAtOnce) override;
+  void refusedForCapacity(bool isAtOnce) override;
   void lendRefused(proxy::LendingEnd reason) override;
   void sessionEnded(proxy::SessionEnd reason) override;
   void unanswered(const std::string &reason) override;
--- a/src/overload/LineLoad.h
+++ b/src/overload/QueueLoad.h
@@ -4,8 +4,8 @@
 /// \file Estimates how long a borrow that arrives now would wait in the queue
 /// for connections to one instance.
 
-#ifndef STEPLEDGE_OVERLOAD_LINELOAD_H
-#define STEPLEDGE_OVERLOAD_LINELOAD_H
+#ifndef STEPLEDGE_OVERLOAD_QUEUELOAD_H
+#define STEPLEDGE_OVERLOAD_QUEUELOAD_H
 
 #include "base/types/Time.h"
 #include "overload/types/Urgency.h"
@@ -32,14 +32,14 @@
   double MaxUrgentShare = 0.95;
 };
 
-class LineLoad {
+class QueueLoad {
 public:
-  explicit LineLoad(QueueLoadOptions options = {}) : Options(options) {}
+  explicit QueueLoad(QueueLoadOptions options = {}) : Options(options) {}
 
   /// Records that a borrow of that urgency got a connection.
-  void noteBegun(TimePoint now, const Urgency &urgency);
+  void noteBorrowStart(TimePoint now, const Urgency &urgency);
   /// Records how long a borrow held its connection.
-  void noteHeld(Duration time);
+  void noteHoldTime(Duration time);
   /// The smoothed time for which a borrow holds a connection; 0 while unknown.
   Duration held() const { return HoldTime; }
   /// The expected wait of a borrow with \p ahead others before it in the queue
@@ -68,4 +68,4 @@
 
 } // namespace stepledge::overload
 
-#endif // STEPLEDGE_OVERLOAD_LINELOAD_H
+#endif // STEPLEDGE_OVERLOAD_QUEUELOAD_H
--- a/src/overload/ToldWaits.cpp
+++ b/src/overload/ReportedWaits.cpp
@@ -1,19 +1,19 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "overload/ToldWaits.h"
+#include "overload/ReportedWaits.h"
 
 #include <algorithm>
 
 namespace stepledge::overload {
 
-void ToldWaits::note(TimePoint now, const InstanceId &instance,
-                     const std::string &lender, const Urgency &urgency,
-                     Duration wait) {
+void ReportedWaits::note(TimePoint now, const InstanceId &instance,
+                         const std::string &lender, const Urgency &urgency,
+                         Duration wait) {
   auto &report = Reports[instance][lender];
   std::erase_if(report.Waits,
                 [&](const auto &it) { return it.second.Expires <= now; });
-  const Wait reported{now + wait, now + std::min(wait, Options.MostBelieved)};
+  const Wait reported{now + wait, now + std::min(wait, Options.MaxValidity)};
   // NOTE: the newest report applies, and a more urgent borrow waits no longer.
   for (auto it = report.Waits.begin();
        it != report.Waits.end() && it->first < urgency; ++it)
@@ -23,8 +23,9 @@
   report.ReportedAt = now;
 }
 
-const ToldWaits::Report *ToldWaits::find(const InstanceId &instance,
-                                         const std::string &lender) const {
+const ReportedWaits::Report *
+ReportedWaits::find(const InstanceId &instance,
+                    const std::string &lender) const {
   const auto lenders = Reports.find(instance);
   if (lenders == Reports.end())
     return nullptr;
@@ -32,9 +33,9 @@
   return report == lenders->second.end() ? nullptr : &report->second;
 }
 
-Duration ToldWaits::left(TimePoint now, const InstanceId &instance,
-                         const std::string &lender,
-                         const Urgency &urgency) const {
+Duration ReportedWaits::left(TimePoint now, const InstanceId &instance,
+                             const std::string &lender,
+                             const Urgency &urgency) const {
   Duration longest{};
   const auto *report = find(instance, lender);
   if (!report)
@@ -46,7 +47,7 @@
   return longest;
 }
 
-bool ToldWaits::isEmpty(TimePoint now, const InstanceId &instance) const {
+bool ReportedWaits::isEmpty(TimePoint now, const InstanceId &instance) const {
   const auto lenders = Reports.find(instance);
   if (lenders == Reports.end())
     return true;
@@ -57,19 +58,19 @@
   return true;
 }
 
-void ToldWaits::noteServed(TimePoint now, const InstanceId &instance,
-                           const std::string &lender) {
+void ReportedWaits::noteServed(TimePoint now, const InstanceId &instance,
+                               const std::string &lender) {
   Reports[instance][lender].ServedAt = now;
 }
 
-bool ToldWaits::isServing(TimePoint now, const InstanceId &instance,
-                          const std::string &lender) const {
+bool ReportedWaits::isServing(TimePoint now, const InstanceId &instance,
+                              const std::string &lender) const {
   const auto *report = find(instance, lender);
   return report && report->ServedAt > report->ReportedAt &&
-         now - report->ServedAt <= Options.MostBelieved;
+         now - report->ServedAt <= Options.MaxValidity;
 }
 
-bool ToldWaits::takeProbe(TimePoint now, const InstanceId &instance) {
+bool ReportedWaits::takeProbe(TimePoint now, const InstanceId &instance) {
   auto &probedAt = ProbedAt[instance];
   if (now - probedAt < Options.ProbeInterval)
     return false;
@@ -77,7 +78,8 @@
   return true;
 }
 
-void ToldWaits::forget(const InstanceId &instance, const std::string &lender) {
+void ReportedWaits::forget(const InstanceId &instance,
+                           const std::string &lender) {
   const auto lenders = Reports.find(instance);
   if (lenders == Reports.end())
     return;
--- a/src/overload/ToldWaits.h
+++ b/src/overload/ReportedWaits.h
@@ -4,8 +4,8 @@
 /// \file The expected waits that lenders have reported, while the reports are
 /// valid.
 
-#ifndef STEPLEDGE_OVERLOAD_TOLDWAITS_H
-#define STEPLEDGE_OVERLOAD_TOLDWAITS_H
+#ifndef STEPLEDGE_OVERLOAD_REPORTEDWAITS_H
+#define STEPLEDGE_OVERLOAD_REPORTEDWAITS_H
 
 #include "base/types/Ids.h"
 #include "base/types/Time.h"
@@ -16,19 +16,19 @@
 
 namespace stepledge::overload {
 
-struct ToldOptions {
+struct ReportedWaitOptions {
   /// A report is valid for at most this time: a queue that shrank sooner is
   /// tried again while most statements can still meet their objectives, which
   /// are some 150 to 600 ms.
-  Duration MostBelieved = milliseconds(400);
+  Duration MaxValidity = milliseconds(400);
   /// One borrow per interval goes to a lender in spite of its report, so that
   /// new capacity is noticed within the tightest objectives.
   Duration ProbeInterval = milliseconds(100);
 };
 
-class ToldWaits {
+class ReportedWaits {
 public:
-  explicit ToldWaits(ToldOptions options = {}) : Options(options) {}
+  explicit ReportedWaits(ReportedWaitOptions options = {}) : Options(options) {}
 
   /// Records that \p lender expects a borrow of that urgency to wait for
   /// \p wait.
@@ -47,10 +47,10 @@
   bool isServing(TimePoint now, const InstanceId &instance,
                  const std::string &lender) const;
   /// The longest time for which a report is valid.
-  Duration mostBelieved() const { return Options.MostBelieved; }
+  Duration maxValidity() const { return Options.MaxValidity; }
   /// Whether no lender that is still there has served a borrow or reported a
   /// wait.
-  bool hasNoWord() const { return Reports.empty(); }
+  bool hasNoReports() const { return Reports.empty(); }
   /// Whether no lender has a valid reported wait for the instance.
   bool isEmpty(TimePoint now, const InstanceId &instance) const;
   /// Whether one borrow may go to a lender in spite of the reported waits;
@@ -74,11 +74,11 @@
   const Report *find(const InstanceId &instance,
                      const std::string &lender) const;
 
-  ToldOptions Options;
+  ReportedWaitOptions Options;
   std::map<InstanceId, std::map<std::string, Report>> Reports;
   std::map<InstanceId, TimePoint> ProbedAt;
 };
 
 } // namespace stepledge::overload
 
-#endif // STEPLEDGE_OVERLOAD_TOLDWAITS_H
+#endif // STEPLEDGE_OVERLOAD_REPORTEDWAITS_H
--- a/src/overload/RetryTime.cpp
+++ b/src/overload/RetryDelay.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "overload/RetryTime.h"
+#include "overload/RetryDelay.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -25,7 +25,7 @@
 
 } // namespace
 
-Duration retryTime(Duration wait, std::string_view statement) {
+Duration retryDelay(Duration wait, std::string_view statement) {
   const Duration least = std::max(wait, MinDelay);
   const auto spread = static_cast<std::uint64_t>(least.count());
   return least +
--- a/src/overload/RetryTime.h
+++ b/src/overload/RetryDelay.h
@@ -3,8 +3,8 @@
 
 /// \file When a client that was refused for lack of capacity should retry.
 
-#ifndef STEPLEDGE_OVERLOAD_RETRYTIME_H
-#define STEPLEDGE_OVERLOAD_RETRYTIME_H
+#ifndef STEPLEDGE_OVERLOAD_RETRYDELAY_H
+#define STEPLEDGE_OVERLOAD_RETRYDELAY_H
 
 #include "base/types/Time.h"
 
@@ -15,8 +15,8 @@
 /// A delay between one and two times \p wait, after which there should be
 /// capacity. A hash of \p statement spreads it evenly, so that clients refused
 /// together retry one by one, at about the rate at which the queue shrinks.
-Duration retryTime(Duration wait, std::string_view statement);
+Duration retryDelay(Duration wait, std::string_view statement);
 
 } // namespace stepledge::overload
 
-#endif // STEPLEDGE_OVERLOAD_RETRYTIME_H
+#endif // STEPLEDGE_OVERLOAD_RETRYDELAY_H
--- a/src/overload/WaitPolicy.cpp
+++ b/src/overload/WaitPolicy.cpp
@@ -19,11 +19,11 @@
 Duration WaitPolicy::limit(const WaitFacts &facts) const {
   // NOTE: a transaction under way and a statement that waits for a new primary
   // don't wait for capacity, so refusing them early frees none.
-  const bool waitsForCapacity = !facts.IsUnderWay && !facts.AwaitsPrimary &&
+  const bool waitsForCapacity = !facts.IsUnderWay && !facts.IsAwaitingPrimary &&
                                 facts.StatementTimeout > Duration{};
-  const Duration usual = waitsForCapacity ? lateLimit(facts) : Options.MaxWait;
+  const Duration usual = waitsForCapacity ? maxLateAge(facts) : Options.MaxWait;
   const Duration longest =
-      facts.IsHopeless ? std::min(usual, Options.MaxWaitUnsendable) : usual;
+      facts.IsUnsendable ? std::min(usual, Options.MaxWaitUnsendable) : usual;
   // NOTE: an overload outlasts a single statement, and the sooner the client is
   // refused, the more time its other tries have.
   return facts.IsShed
@@ -31,7 +31,7 @@
              : longest;
 }
 
-Duration WaitPolicy::lateLimit(const WaitFacts &facts) const {
+Duration WaitPolicy::maxLateAge(const WaitFacts &facts) const {
   if (facts.StatementTimeout <= Duration{})
     return Options.LateObjectives * facts.Objective;
   const Duration late =
@@ -39,14 +39,14 @@
   return std::min(std::max(facts.Objective, late), facts.StatementTimeout);
 }
 
-Duration WaitPolicy::onTime(const WaitFacts &facts, Duration age,
-                            Duration work) const {
+Duration WaitPolicy::maxOnTimeWait(const WaitFacts &facts, Duration age,
+                                   Duration work) const {
   return fractionOf(std::max(Duration{}, facts.Objective - age - work),
                     Options.OnTimeFraction);
 }
 
 Duration WaitPolicy::late(const WaitFacts &facts, Duration age) const {
-  return std::max(Duration{}, lateLimit(facts) - age);
+  return std::max(Duration{}, maxLateAge(facts) - age);
 }
 
 } // namespace stepledge::overload
--- a/src/overload/WaitPolicy.h
+++ b/src/overload/WaitPolicy.h
@@ -42,11 +42,11 @@
   Duration limit(const WaitFacts &facts) const;
   /// How long, counted from its arrival, a statement may wait although it is
   /// late.
-  Duration lateLimit(const WaitFacts &facts) const;
+  Duration maxLateAge(const WaitFacts &facts) const;
   /// The longest expected wait with which a statement of that age, which needs
   /// \p work besides, should meet its objective; 0 if it no longer can.
-  Duration onTime(const WaitFacts &facts, Duration age,
-                  Duration work = {}) const;
+  Duration maxOnTimeWait(const WaitFacts &facts, Duration age,
+                         Duration work = {}) const;
   /// The longest expected wait after which an answer is still useful, on time
   /// or late.
   Duration late(const WaitFacts &facts, Duration age) const;
--- a/src/overload/tests/ToldWaitsTest.cpp
+++ b/src/overload/tests/ReportedWaitsTest.cpp
@@ -3,7 +3,7 @@
 
 /// \file Tests of the waits that lenders report to a borrower.
 
-#include "overload/ToldWaits.h"
+#include "overload/ReportedWaits.h"
 
 #include <doctest/doctest.h>
 
@@ -18,8 +18,8 @@
 
 } // namespace
 
-TEST_CASE("ToldWaits_ReportExpiresWithItsWait") {
-  ToldWaits waits;
+TEST_CASE("ReportedWaits_ReportExpiresWithItsWait") {
+  ReportedWaits waits;
   CHECK(waits.isEmpty(Start, Primary));
   waits.note(Start, Primary, "a", Usual, milliseconds(100));
   CHECK(waits.left(Start + milliseconds(40), Primary, "a", Usual) ==
@@ -32,27 +32,27 @@
   CHECK(waits.left(Start, InstanceId("q"), "a", Usual) == Duration{});
 }
 
-TEST_CASE("ToldWaits_LostOrAbsurdReportExpiresSoon") {
+TEST_CASE("ReportedWaits_LostOrAbsurdReportExpiresSoon") {
   // The lender died while its queue was long, or its later reports were lost.
-  ToldWaits waits;
+  ReportedWaits waits;
   waits.note(Start, Primary, "a", Usual, std::chrono::hours(1));
-  const Duration maxAge = ToldOptions().MostBelieved;
+  const Duration maxAge = ReportedWaitOptions().MaxValidity;
   // A statement that can't wait that long isn't sent there meanwhile.
   CHECK(waits.left(Start, Primary, "a", Usual) == std::chrono::hours(1));
   CHECK(waits.left(Start + maxAge, Primary, "a", Usual) == Duration{});
   CHECK(waits.isEmpty(Start + maxAge, Primary));
 }
 
-TEST_CASE("ToldWaits_WaitOfLessUrgentBorrowsDoesNotApplyToUrgentOnes") {
-  ToldWaits waits;
+TEST_CASE("ReportedWaits_WaitOfLessUrgentBorrowsDoesNotApplyToUrgentOnes") {
+  ReportedWaits waits;
   waits.note(Start, Primary, "a", Usual, milliseconds(200));
   CHECK(waits.left(Start, Primary, "a", {false, 0}) == Duration{});
   CHECK(waits.left(Start, Primary, "a", {false, 2}) == milliseconds(200));
   CHECK(waits.left(Start, Primary, "a", {true, 0}) == milliseconds(200));
 }
 
-TEST_CASE("ToldWaits_NewestReportApplies") {
-  ToldWaits waits;
+TEST_CASE("ReportedWaits_NewestReportApplies") {
+  ReportedWaits waits;
   waits.note(Start, Primary, "a", {false, 0}, milliseconds(200));
   waits.note(Start, Primary, "a", Usual, milliseconds(300));
   waits.note(Start, Primary, "a", Usual, milliseconds(50));
@@ -60,15 +60,15 @@
   CHECK(waits.left(Start, Primary, "a", {false, 0}) == milliseconds(50));
 }
 
-TEST_CASE("ToldWaits_OneProbePerInterval") {
-  ToldWaits waits;
+TEST_CASE("ReportedWaits_OneProbePerInterval") {
+  ReportedWaits waits;
   CHECK(waits.takeProbe(Start, Primary));
   CHECK(!waits.takeProbe(Start + milliseconds(50), Primary));
-  CHECK(waits.takeProbe(Start + ToldOptions().ProbeInterval, Primary));
+  CHECK(waits.takeProbe(Start + ReportedWaitOptions().ProbeInterval, Primary));
 }
 
-TEST_CASE("ToldWaits_LenderThatServesHasCapacityUntilItReportsAWait") {
-  ToldWaits waits;
+TEST_CASE("ReportedWaits_LenderThatServesHasCapacityUntilItReportsAWait") {
+  ReportedWaits waits;
   waits.note(Start, Primary, "a", Usual, milliseconds(200));
   CHECK(!waits.isServing(Start, Primary, "a"));
   waits.noteServed(Start + milliseconds(10), Primary, "a");
--- a/src/overload/tests/RetryTimeTest.cpp
+++ b/src/overload/tests/RetryDelayTest.cpp
@@ -3,7 +3,7 @@
 
 /// \file Tests of when refused clients retry.
 
-#include "overload/RetryTime.h"
+#include "overload/RetryDelay.h"
 
 #include <doctest/doctest.h>
 
@@ -19,7 +19,7 @@
   constexpr std::size_t Parts = 10;
   std::array<int, Parts> returned{};
   for (int i = 0; i < Clients; ++i) {
-    const Duration time = retryTime(Wait, "s" + std::to_string(i));
+    const Duration time = retryDelay(Wait, "s" + std::to_string(i));
     REQUIRE(time >= Wait);
     REQUIRE(time < 2 * Wait);
     ++returned[static_cast<std::size_t>((time - Wait) * Parts / Wait)];
@@ -32,6 +32,7 @@
 }
 
 TEST_CASE("RetryDelay_IsTheSameForTheSameStatement") {
-  CHECK(retryTime(milliseconds(100), "a") == retryTime(milliseconds(100), "a"));
-  CHECK(retryTime(Duration{}, "a") > Duration{});
+  CHECK(retryDelay(milliseconds(100), "a") ==
+        retryDelay(milliseconds(100), "a"));
+  CHECK(retryDelay(Duration{}, "a") > Duration{});
 }
--- a/src/overload/tests/WaitPolicyTest.cpp
+++ b/src/overload/tests/WaitPolicyTest.cpp
@@ -17,7 +17,7 @@
   CHECK(policy.limit(facts) == WaitOptions().MaxWait);
   facts.IsShed = true;
   CHECK(policy.limit(facts) == milliseconds(30));
-  facts.IsHopeless = true;
+  facts.IsUnsendable = true;
   CHECK(policy.limit(facts) == milliseconds(30));
   facts.IsShed = false;
   CHECK(policy.limit(facts) == WaitOptions().MaxWaitUnsendable);
@@ -48,9 +48,9 @@
   facts.IsUnderWay = true;
   CHECK(policy.limit(facts) == WaitOptions().MaxWait);
   facts.IsUnderWay = false;
-  facts.AwaitsPrimary = true;
+  facts.IsAwaitingPrimary = true;
   CHECK(policy.limit(facts) == WaitOptions().MaxWait);
-  facts.IsHopeless = true;
+  facts.IsUnsendable = true;
   CHECK(policy.limit(facts) == WaitOptions().MaxWaitUnsendable);
 }
 
@@ -59,10 +59,10 @@
   WaitFacts facts;
   facts.Objective = milliseconds(240);
   facts.StatementTimeout = milliseconds(800);
-  CHECK(policy.onTime(facts, {}) == milliseconds(180));
-  CHECK(policy.onTime(facts, milliseconds(100), milliseconds(40)) ==
+  CHECK(policy.maxOnTimeWait(facts, {}) == milliseconds(180));
+  CHECK(policy.maxOnTimeWait(facts, milliseconds(100), milliseconds(40)) ==
         milliseconds(75));
-  CHECK(policy.onTime(facts, milliseconds(300)) == Duration{});
+  CHECK(policy.maxOnTimeWait(facts, milliseconds(300)) == Duration{});
   CHECK(policy.late(facts, milliseconds(300)) == milliseconds(100));
   CHECK(policy.late(facts, milliseconds(500)) == Duration{});
   // A lender doesn't receive the timeout.
--- a/src/overload/types/WaitFacts.h
+++ b/src/overload/types/WaitFacts.h
@@ -23,13 +23,13 @@
   bool IsUnderWay = false;
   /// The statement needs a primary, and none is known or the known one is being
   /// replaced: it waits for the successor, not for capacity.
-  bool AwaitsPrimary = false;
+  bool IsAwaitingPrimary = false;
   /// The statement is kept from an overloaded primary in favour of other
   /// routes.
   bool IsShed = false;
   /// The statement can't be sent from this VM for now: other VMs may serve the
   /// client sooner.
-  bool IsHopeless = false;
+  bool IsUnsendable = false;
 };
 
 } // namespace stepledge::overload
--- a/src/peer/InstanceCodec.cpp
+++ b/src/peer/InstanceCodec.cpp
@@ -21,7 +21,7 @@
   instance.set_state(static_cast<std::uint32_t>(record.State));
   instance.set_slots(static_cast<std::uint32_t>(record.Slots));
   instance.set_sequence(record.Sequence);
-  instance.set_born_ms(record.BornMs);
+  instance.set_born_ms(record.StartTimeMs);
   instance.set_has_restarted(record.HasRestarted);
   return instance;
 }
@@ -43,7 +43,7 @@
   record.State = static_cast<InstanceState>(instance.state());
   record.Slots = static_cast<int>(instance.slots());
   record.Sequence = instance.sequence();
-  record.BornMs = instance.born_ms();
+  record.StartTimeMs = instance.born_ms();
   record.HasRestarted = instance.has_restarted();
   return record;
 }
--- a/src/peer/tests/InstanceCodecTest.cpp
+++ b/src/peer/tests/InstanceCodecTest.cpp
@@ -25,7 +25,7 @@
   record.Role = membership::InstanceRole::Primary;
   record.State = membership::InstanceState::Leaving;
   record.Slots = 3;
-  record.BornMs = 1'800'000'000'000;
+  record.StartTimeMs = 1'800'000'000'000;
   record.Sequence = 9;
   record.HasRestarted = true;
   return record;
@@ -43,7 +43,7 @@
   old.clear_has_restarted();
   const auto read = decode(old);
   REQUIRE(read);
-  CHECK(read->BornMs == 0);
+  CHECK(read->StartTimeMs == 0);
   CHECK(!read->HasRestarted);
 }
 
--- a/src/proxy/IProxyIo.h
+++ b/src/proxy/IProxyIo.h
@@ -97,7 +97,7 @@
   virtual void retried(ReplyCode code) { (void)code; }
   /// A statement was refused as not run: at once for lack of capacity, or after
   /// it had waited for capacity, a primary or its quota.
-  virtual void refusedForRoom(bool isAtOnce) { (void)isAtOnce; }
+  virtual void refusedForCapacity(bool isAtOnce) { (void)isAtOnce; }
   /// A borrow of another VM was refused as not run.
   virtual void lendRefused(LendingEnd reason) { (void)reason; }
   /// This VM has ended a client's session.
--- a/src/proxy/Proxy.cpp
+++ b/src/proxy/Proxy.cpp
@@ -42,7 +42,7 @@
              IBorrowerIo &borrowers, quota::IOperationQuota &quota)
     : Options(std::move(options)), Io(io), Log(log), Quota(quota),
       Watch(Options.OwnIp, Options.OwnHall),
-      SecondTries(Options.SecondTryShare, Options.ReadRetryBurst), Pool(io),
+      ReadRetryBudget(Options.ReadRetryShare, Options.ReadRetryBurst), Pool(io),
       Homes(Options.OwnIp), Lending(*this, borrowers, log, Line) {}
 
 void Proxy::applyConfiguration(TimePoint now,
@@ -58,12 +58,12 @@
   Line.setRates(ratesOf(Configuration));
   reviewSessions(now);
   for (const auto &[name, service] : Configuration.Services)
-    dispatchWaiting(now, name);
+    dispatchQueue(now, name);
   logEarlyClients(now);
   for (auto &it : std::exchange(EarlyClients, {})) {
     clientConnected(now, it.Client, it.Database, it.Key);
     for (auto &statement : it.Statements)
-      clientAsked(now, it.Client, std::move(statement));
+      statementReceived(now, it.Client, std::move(statement));
   }
 }
 
@@ -79,14 +79,14 @@
     for (const auto id : unused)
       Pool.close(id);
   }
-  dispatchWaiting(now, record.Service);
+  dispatchQueue(now, record.Service);
 }
 
 void Proxy::dropEarlierIncarnation(TimePoint now,
                                    const membership::InstanceRecord &record) {
-  Log.decision(
-      absl::StrCat("event=instance_restarted instance=", record.Id.str(),
-                   " service=", record.Service, " born_ms=", record.BornMs));
+  Log.decision(absl::StrCat(
+      "event=instance_restarted instance=", record.Id.str(),
+      " service=", record.Service, " born_ms=", record.StartTimeMs));
   for (const auto id : Pool.idsOf(record.Id)) {
     if (!Pool.find(id))
       continue;
@@ -94,15 +94,15 @@
     connectionLost(now, id);
   }
   // NOTE: these lost connections don't mean that the new incarnation is silent.
-  tracker(record.Service).forgetSilence(record.Id);
-  Pool.refuseUntil(record.Id, {});
-  BadLenders.erase(record.Id);
+  tracker(record.Service).clearSilence(record.Id);
+  Pool.pauseOpeningUntil(record.Id, {});
+  PausedLenders.erase(record.Id);
 }
 
 void Proxy::applyPromotion(TimePoint now, const std::string &service,
                            const Promotion &promotion) {
   tracker(service).notePromotion(promotion);
-  dispatchWaiting(now, service);
+  dispatchQueue(now, service);
 }
 
 void Proxy::clientConnected(TimePoint now, ClientId client,
@@ -141,8 +141,8 @@
   Io.acceptClient(client);
 }
 
-void Proxy::clientAsked(TimePoint now, ClientId client,
-                        ClientStatement statement) {
+void Proxy::statementReceived(TimePoint now, ClientId client,
+                              ClientStatement statement) {
   const auto early =
       std::find_if(EarlyClients.begin(), EarlyClients.end(),
                    [&](const auto &it) { return it.Client == client; });
@@ -207,7 +207,7 @@
       return refuse(now, session, ReplyCode::Aborted,
                     "the transaction had failed and is rolled back");
     }
-    const bool isUnreported = std::exchange(session.WasAbortedAtRest, false);
+    const bool isUnreported = std::exchange(session.WasAbortedWhileIdle, false);
     return refuse(
         now, session, isUnreported ? ReplyCode::Aborted : ReplyCode::Malformed,
         isUnreported ? "the transaction was rolled back while it rested"
@@ -259,7 +259,7 @@
   releasePinned(now, session);
   session.State = SessionState::Idle;
   session.Mode = TransactionMode::None;
-  session.WasAbortedAtRest = false;
+  session.WasAbortedWhileIdle = false;
   const ClientId id = session.Id;
   Io.answerClient(id, localSuccess(SessionState::Idle));
   endIfKeyWithdrawn(now, id);
@@ -316,7 +316,7 @@
 
 void Proxy::answer(TimePoint now, ClientSession &session,
                    StatementReply reply) {
-  stopWaiting(session);
+  removeFromQueue(session);
   if (session.Current)
     Log.answered(reply.Code, now - session.Current->ArrivedAt);
   session.Current.reset();
@@ -355,7 +355,7 @@
       continue;
     releasePinned(now, it);
     it.State = SessionState::Failed;
-    it.WasAbortedAtRest = true;
+    it.WasAbortedWhileIdle = true;
   }
 }
 
@@ -375,7 +375,7 @@
                      [](const auto &it) { return !it.second->all().empty(); });
 }
 
-std::vector<PrimarySight> Proxy::primarySights(TimePoint now) {
+std::vector<PrimarySight> Proxy::primaryObservations(TimePoint now) {
   std::vector<PrimarySight> observations;
   for (const auto &service : Watch.watched(now)) {
     auto &instances = tracker(service);
@@ -383,8 +383,9 @@
     if (!primary)
       continue;
     const auto *instance = instances.find(*primary);
-    PrimarySight observation{
-        service, *primary, instance ? instance->Record.BornMs : 0, Duration{}};
+    PrimarySight observation{service, *primary,
+                             instance ? instance->Record.StartTimeMs : 0,
+                             Duration{}};
     if (instance && instance->SilentSince)
       observation.SilentFor = now - *instance->SilentSince;
     observations.push_back(std::move(observation));
--- a/src/proxy/Proxy.h
+++ b/src/proxy/Proxy.h
@@ -11,7 +11,7 @@
 #include "control/types/Configuration.h"
 #include "membership/HomeTable.h"
 #include "membership/types/InstanceRecord.h"
-#include "overload/ToldWaits.h"
+#include "overload/ReportedWaits.h"
 #include "overload/WaitPolicy.h"
 #include "proxy/IBorrowerIo.h"
 #include "proxy/IProxyIo.h"
@@ -20,12 +20,12 @@
 #include "proxy/internal/InstanceTracker.h"
 #include "proxy/internal/Lender.h"
 #include "proxy/internal/LoadShedder.h"
-#include "proxy/internal/RouteWork.h"
+#include "proxy/internal/RouteStatementTimes.h"
 #include "proxy/internal/ServiceWatch.h"
 #include "proxy/types/ProxyOptions.h"
 #include "proxy/types/SessionEnd.h"
 #include "quota/IOperationQuota.h"
-#include "scheduling/ServingLine.h"
+#include "scheduling/QueueScheduler.h"
 
 #include <map>
 #include <memory>
@@ -38,7 +38,7 @@
   std::string Service;
   InstanceId Primary;
   /// The observed incarnation; as in membership::InstanceRecord.
-  std::uint64_t BornMs = 0;
+  std::uint64_t StartTimeMs = 0;
   /// How long requests to it have gone unanswered; 0 if none has.
   Duration SilentFor{};
 };
@@ -72,7 +72,7 @@
   void setIsolated(bool isIsolated) { IsIsolated = isIsolated; }
   /// Starts the shutdown: new clients are refused, and each session ends after
   /// its next answer.
-  void beginToClose() { IsShuttingDown = true; }
+  void beginShutdown() { IsShuttingDown = true; }
   /// Set while nothing is received from a control VM that has a majority.
   void setControlLost(bool isLost) { IsControlLost = isLost; }
   /// Serves the VMs that borrow connections from this one.
@@ -87,8 +87,9 @@
 
   void clientConnected(TimePoint now, ClientId client,
                        const DatabaseId &database, const KeyDigest &key = {});
-  void clientAsked(TimePoint now, ClientId client, ClientStatement statement);
-  void clientLeft(TimePoint now, ClientId client);
+  void statementReceived(TimePoint now, ClientId client,
+                         ClientStatement statement);
+  void clientDisconnected(TimePoint now, ClientId client);
   /// This VM closed the client's connection because of what the client did.
   void clientDropped(TimePoint now, ClientId client, SessionEnd reason);
 
@@ -105,7 +106,7 @@
   void quotaChanged(TimePoint now, const OrganisationId &organisation);
   /// Discards the position proofs, which are too old to rely on after a clock
   /// jump.
-  void forgetProofs();
+  void clearProofs();
 
   /// Ends the sessions that are outside a transaction and have been idle for
   /// \p atLeast. Each client gets a refusal, since a statement may be in
@@ -116,7 +117,7 @@
   std::size_t sessionCount() const { return Sessions.size(); }
   /// Number of organisations over their fair share of an instance, whose
   /// statements wait behind those of others.
-  std::size_t heldBackOrganisations(TimePoint now) const {
+  std::size_t organisationsOverShare(TimePoint now) const {
     return Line.heldBack(now);
   }
   /// Whether any client waits for an answer.
@@ -129,9 +130,9 @@
   const control::Configuration &configuration() const { return Configuration; }
   /// Number of outlier instances, which get a reduced share of reads because
   /// they answer them worse than their siblings.
-  int heldBackInstances() const;
+  int outlierInstances() const;
   /// Observations of the primaries of the services that this VM watches.
-  std::vector<PrimarySight> primarySights(TimePoint now);
+  std::vector<PrimarySight> primaryObservations(TimePoint now);
 
 private:
   /// Closes all connections to an instance that has restarted: a connection
@@ -164,7 +165,7 @@
                                                const KeyDigest &key) const;
   /// The organisation to name when a connection is borrowed for the proxy's own
   /// probes; none where any organisation's connection will do.
-  std::optional<OrganisationId> ofQuestions() const;
+  std::optional<OrganisationId> probeOrganisation() const;
   /// Checks the sessions' keys against a new configuration.
   void reviewSessions(TimePoint now);
   void reviewSession(TimePoint now, ClientSession &session);
@@ -199,20 +200,20 @@
   membership::HomeShare homeShare(const std::string &service) const;
   /// The lender isn't asked for the instance for now, after a failure or
   /// because it had no free connection.
-  bool isBadLender(TimePoint now, const InstanceId &instance,
-                   const std::string &lender) const;
+  bool isLenderPaused(TimePoint now, const InstanceId &instance,
+                      const std::string &lender) const;
   /// At least one lender isn't asked for the instance for now.
-  bool hasBadLender(TimePoint now, const InstanceId &instance) const;
+  bool hasPausedLender(TimePoint now, const InstanceId &instance) const;
   /// This VM has started recently. If all VMs lost power together, the
   /// instances count the lost connections for some seconds more.
-  bool isCautious(TimePoint now) const;
+  bool isRecentlyStarted(TimePoint now) const;
   ConnectionShare shareOf(TimePoint now,
                           const membership::InstanceRecord &record);
   /// Only borrowed connections are left, and an own one may be opened again.
-  bool mustReturnToOwn(TimePoint now,
-                       const membership::InstanceRecord &record) const;
+  bool shouldRestoreOwn(TimePoint now,
+                        const membership::InstanceRecord &record) const;
   /// Gives up the borrow that \p connection serves, and closes the connection.
-  void endBorrowed(InstanceConnection &connection);
+  void endBorrow(InstanceConnection &connection);
   InstanceConnection *
   findLendable(TimePoint now, const std::string &service,
                const InstanceId &instance,
@@ -220,11 +221,12 @@
   bool reaches(const std::string &service, const InstanceId &instance) override;
   bool isSilentSince(const std::string &service, const InstanceId &instance,
                      TimePoint sentAt) override;
-  bool expectsFree(TimePoint now, const InstanceId &instance) override;
-  int usableAt(TimePoint now, const std::string &service,
-               const InstanceId &instance) override;
-  LendingRoom roomAt(TimePoint now, const std::string &service,
-                     const InstanceId &instance) override;
+  bool expectsFreeConnection(TimePoint now,
+                             const InstanceId &instance) override;
+  int lendableConnections(TimePoint now, const std::string &service,
+                          const InstanceId &instance) override;
+  LendingCapacity lendingCapacity(TimePoint now, const std::string &service,
+                                  const InstanceId &instance) override;
   InstanceConnection *connection(ConnectionId id) override {
     return Pool.find(id);
   }
@@ -267,7 +269,7 @@
   static bool mayBeShed(const ClientSession &session);
   /// The primary is congested and sheds the statement, which replicas could run
   /// as well if they were not behind.
-  bool keepsOffPrimary(TimePoint now, const ClientSession &session);
+  bool shedsFromPrimary(TimePoint now, const ClientSession &session);
   std::optional<Mark> minimumPosition(TimePoint now,
                                       const ClientSession &session);
   /// A free connection to the instance, or null; where there is none, one may
@@ -278,16 +280,16 @@
   bool isAtLimit(TimePoint now, const TrackedInstance &instance,
                  const OrganisationId &organisation);
   /// Opens one more connection if the wait for one in use may be long.
-  void openIfWorthIt(TimePoint now, const ClientSession &session,
-                     const membership::InstanceRecord &record);
+  void openIfWaitIsLong(TimePoint now, const ClientSession &session,
+                        const membership::InstanceRecord &record);
   /// Opens one more connection to the instance, or borrows one where this VM
   /// can't have its own; with \p mayBorrowBeyond also where all that it may
   /// have are in use. Lenders at which the statement of \p session, if any,
   /// would wait too long aren't asked.
-  bool openTo(TimePoint now, const membership::InstanceRecord &record,
-              const std::optional<OrganisationId> &organisation,
-              bool mayBorrowBeyond = false,
-              const ClientSession *session = nullptr);
+  bool openOrBorrow(TimePoint now, const membership::InstanceRecord &record,
+                    const std::optional<OrganisationId> &organisation,
+                    bool mayBorrowBeyond = false,
+                    const ClientSession *session = nullptr);
   /// The VMs that may be asked for a connection to the instance, best first.
   std::vector<std::string>
   lendersOf(TimePoint now, const membership::InstanceRecord &record,
@@ -303,13 +305,13 @@
                const InstanceId &instance, const std::string &lender);
   /// Enough of \p lenders have reported waits that are too long, and none has
   /// served a borrow since, to assume that the others have no capacity either.
-  bool lacksRoom(TimePoint now, const ClientSession &session,
-                 const InstanceId &instance,
-                 const std::vector<std::string> &lenders);
+  bool lackCapacity(TimePoint now, const ClientSession &session,
+                    const InstanceId &instance,
+                    const std::vector<std::string> &lenders);
   /// Records that the lender refused the session's statement for such a wait.
-  void noteTold(TimePoint now, ClientSession &session,
-                const InstanceId &instance, const std::string &lender,
-                Duration expectedWait);
+  void noteReportedWait(TimePoint now, ClientSession &session,
+                        const InstanceId &instance, const std::string &lender,
+                        Duration expectedWait);
   /// The facts that limit how long the session's statement may wait.
   overload::WaitFacts factsOf(TimePoint now, const ClientSession &session);
   /// No primary of the service is known, or the known one is silent, denies
@@ -320,16 +322,16 @@
                                     const ClientSession &session);
   /// The shortest wait reported by the VMs that could lend a connection for the
   /// session's statement, if the reported waits of all are too long.
-  std::optional<Duration> toldTooLong(TimePoint now,
-                                      const ClientSession &session);
+  std::optional<Duration> reportedWaitTooLong(TimePoint now,
+                                              const ClientSession &session);
   /// The same for one instance; also none if this VM need not borrow.
-  std::optional<Duration> toldTooLongAt(TimePoint now,
-                                        const ClientSession &session,
-                                        const TrackedInstance &instance);
+  std::optional<Duration>
+  reportedWaitTooLongAt(TimePoint now, const ClientSession &session,
+                        const TrackedInstance &instance);
   /// Refuses the session's statement, since a lender is expected to have a free
   /// connection only after \p wait.
   void refuseEarly(TimePoint now, ClientSession &session, Duration wait);
-  void noteDirectBad(TimePoint now, TrackedInstance &instance);
+  void noteDirectPathLost(TimePoint now, TrackedInstance &instance);
   void sendBegin(TimePoint now, ClientSession &session,
                  InstanceConnection &connection,
                  const std::optional<Mark> &minimum);
@@ -364,7 +366,7 @@
                                     const InstanceId &instance,
                                     StatementReply reply);
   void wait(ClientSession &session, TimePoint notBefore);
-  void stopWaiting(ClientSession &session);
+  void removeFromQueue(ClientSession &session);
   void notRun(TimePoint now, ClientSession &session, ReplyCode code,
               const InstanceId &instance);
   void noteCommit(ClientSession &session, const InstanceId &instance,
@@ -397,13 +399,12 @@
   void abandonStatement(TimePoint now, ClientSession &session);
   void freeConnection(TimePoint now, InstanceConnection &connection);
   static scheduling::WaitRank rankOf(const ClientSession &session);
-  std::vector<ClientId> waitingInOrder(TimePoint now,
-                                       const std::string &service);
+  std::vector<ClientId> servingOrder(TimePoint now, const std::string &service);
   /// Charges the time of an answer on \p connection, or of opening it, to its
   /// organisation's share of the queues.
   void noteSlotTime(TimePoint now, const InstanceConnection &connection,
                     Duration took);
-  void dispatchWaiting(TimePoint now, const std::string &service);
+  void dispatchQueue(TimePoint now, const std::string &service);
   void probePrimaries(TimePoint now);
   /// Asks the primary for its position when no recent statement has proved it.
   void probePrimary(TimePoint now, const std::string &service,
@@ -415,10 +416,10 @@
   void searchPrimary(TimePoint now, const std::string &service,
                      InstanceTracker &instances);
   /// The connection is free, and this VM has enough others or may not keep it.
-  bool isUnneeded(TimePoint now, const InstanceConnection &connection);
+  bool isSurplus(TimePoint now, const InstanceConnection &connection);
   /// The connection was not accepted in time, or has not answered an abandoned
   /// command for too long.
-  bool isDead(TimePoint now, const InstanceConnection &connection);
+  bool isUnresponsive(TimePoint now, const InstanceConnection &connection);
   /// Records that the instance is silent, if \p connection shows it.
   void noteSilenceOn(TimePoint now, const InstanceConnection &connection);
   void sweepConnections(TimePoint now);
@@ -450,11 +451,11 @@
     std::vector<ClientStatement> Statements;
   };
   std::vector<EarlyClient> EarlyClients;
-  scheduling::ServingLine Line;
+  scheduling::QueueScheduler Line;
   overload::WaitPolicy Patience;
-  RouteWork UsualWork;
+  RouteStatementTimes StatementTimes;
   /// The budget of reads that are sent again because their instance is slow.
-  admission::RetryBudget SecondTries;
+  admission::RetryBudget ReadRetryBudget;
   LoadShedder Shedder;
   /// By service, the statements that need a connection.
   std::map<std::string, std::set<WaitKey>> Waiting;
@@ -468,8 +469,8 @@
   Lender Lending;
   /// By instance, the lenders that failed or had no free connection, and until
   /// when they are not asked again.
-  std::map<InstanceId, std::map<std::string, TimePoint>> BadLenders;
-  overload::ToldWaits Told;
+  std::map<InstanceId, std::map<std::string, TimePoint>> PausedLenders;
+  overload::ReportedWaits Told;
 };
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/Access.cpp
+++ b/src/proxy/internal/Access.cpp
@@ -21,7 +21,7 @@
   return route.IsPublic ? std::optional(OrganisationId()) : std::nullopt;
 }
 
-std::optional<OrganisationId> Proxy::ofQuestions() const {
+std::optional<OrganisationId> Proxy::probeOrganisation() const {
   return Configuration.HasOrganisations ? std::nullopt
                                         : std::optional(OrganisationId());
 }
@@ -51,7 +51,7 @@
     return;
   session.Organisation = *organisation;
   const bool isSent =
-      session.Current && session.Current->Stage != WorkStage::Waiting;
+      session.Current && session.Current->Stage != StatementStage::Waiting;
   if (!session.Pinned || isSent)
     return;
   // NOTE: the transaction is on a connection of the organisation that the key
@@ -61,7 +61,7 @@
                   "the key belongs to another organisation now");
   releasePinned(now, session);
   session.State = SessionState::Failed;
-  session.WasAbortedAtRest = true;
+  session.WasAbortedWhileIdle = true;
 }
 
 void Proxy::withdrawKey(TimePoint now, ClientSession &session) {
@@ -71,7 +71,7 @@
                             " config=", Configuration.Version));
   const ClientId id = session.Id;
   const bool isSent =
-      session.Current && session.Current->Stage != WorkStage::Waiting;
+      session.Current && session.Current->Stage != StatementStage::Waiting;
   // NOTE: a statement already sent to an instance is still answered, so that
   // the client gets its outcome; no further statement of the transaction is
   // run.
@@ -124,11 +124,11 @@
   std::vector<ClientId> waiting;
   for (const auto &[id, it] : Sessions)
     if (it.Current && it.Organisation == organisation && !it.IsAdmitted &&
-        it.Current->Stage == WorkStage::Waiting)
+        it.Current->Stage == StatementStage::Waiting)
       waiting.push_back(id);
   for (const auto id : waiting) {
     auto *it = session(id);
-    if (it && it->Current && it->Current->Stage == WorkStage::Waiting)
+    if (it && it->Current && it->Current->Stage == StatementStage::Waiting)
       dispatch(now, *it);
   }
 }
--- a/src/proxy/internal/Answers.cpp
+++ b/src/proxy/internal/Answers.cpp
@@ -38,7 +38,7 @@
     it->LastUsed = now;
     auto *known = tracker(service).find(instance);
     if (known && !it->isBorrowed()) {
-      known->IsDirectBad = false;
+      known->IsDirectPathLost = false;
       known->LastDirectAnswerAt = now;
     }
     // NOTE: a borrowed connection is ready once its lender is connected; the
@@ -50,17 +50,17 @@
     if (reply.Position)
       tracker(service).notePosition(now, instance, *reply.Position);
     Lending.pump(now, service, instance);
-    dispatchWaiting(now, service);
+    dispatchQueue(now, service);
     return;
   }
   Log.decision(absl::StrCat(
       "event=connection_refused instance=", instance.str(),
       " service=", service, " code=", std::string(nameOf(reply.Code))));
   Pool.close(connection);
-  const bool isAlone = Pool.ownAt(instance) == 0;
-  Pool.refuseUntil(instance,
-                   now + (isAlone ? Options.FullInstancePauseUnconnected
-                                  : Options.FullInstancePause));
+  const bool isAlone = Pool.ownCount(instance) == 0;
+  Pool.pauseOpeningUntil(instance,
+                         now + (isAlone ? Options.FullInstancePauseUnconnected
+                                        : Options.FullInstancePause));
   if (reply.Code != ReplyCode::WrongInstance)
     return;
   auto &instances = tracker(service);
@@ -71,7 +71,7 @@
   // silent. When it was removed here, no VM reported it, and its service had no
   // primary for 20 s, until its record expired.
   instances.noteSilence(now, instance);
-  noteDirectBad(now, *known);
+  noteDirectPathLost(now, *known);
 }
 
 void Proxy::connectionAnswered(TimePoint now, ConnectionId connection,
@@ -86,7 +86,7 @@
   const bool isFromInstance = !it->IsRefused;
   if (auto *instance = instances.find(it->Instance)) {
     if (!it->isBorrowed()) {
-      instance->IsDirectBad = false;
+      instance->IsDirectPathLost = false;
       instance->LastDirectAnswerAt = now;
     }
     if (sent.Reason == Purpose::Statement)
@@ -119,7 +119,7 @@
   if (isProof && reply.Position)
     instances.noteProof(sent.SentAt, it->Instance, *reply.Position);
   if (sent.Reason == Purpose::Probe && reply.Code == ReplyCode::ReadOnly)
-    instances.noteDeniedLead(now, it->Instance);
+    instances.noteNotPrimary(now, it->Instance);
 
   if (it->Borrower)
     return Lending.answered(now, *it, sent.Reason, reply);
@@ -220,13 +220,13 @@
   // single statements.
   if (!known || session.State != SessionState::Idle)
     return;
-  const double slowness = UsualWork.slowness(session.Route, took);
-  known->Running.noteAnswer(slowness, Pool.busyAt(instance) + 1);
+  const double slowness = StatementTimes.slowness(session.Route, took);
+  known->Running.noteAnswer(slowness, Pool.busyCount(instance) + 1);
   if (isSharedRead(session)) {
     instances.outliers().noteAnswer(now, instance, slowness);
-    SecondTries.noteRequest();
+    ReadRetryBudget.noteRequest();
   }
-  UsualWork.note(session.Route, took, known->Running.congestion());
+  StatementTimes.note(session.Route, took, known->Running.congestion());
 }
 
 void Proxy::singleStatementAnswered(TimePoint now, ClientSession &session,
@@ -241,7 +241,7 @@
     noteReadFailure(now, session, instance);
   const bool failedRead = reply.Code == ReplyCode::Failed &&
                           work.Mode == AccessMode::Read &&
-                          work.Sendings < MaxReadSends;
+                          work.SendCount < MaxReadSends;
   if (isNotRun(reply.Code) || failedRead)
     return notRun(now, session, reply.Code, instance);
   refuse(now, session, reply.Code, reply.Detail);
@@ -297,14 +297,14 @@
 void Proxy::notRun(TimePoint now, ClientSession &session, ReplyCode code,
                    const InstanceId &instance) {
   auto &work = *session.Current;
-  work.Stage = WorkStage::Waiting;
+  work.Stage = StatementStage::Waiting;
   work.Connection.reset();
   // NOTE: the lender refused before the instance was asked, and another path to
   // the instance may be free.
   const bool isLenderRefusal = std::exchange(work.IsRefusedByLender, false);
   auto &instances = tracker(session.Route.Service);
   if (code == ReplyCode::Lagging && work.Minimum)
-    instances.noteBehind(now, instance, *work.Minimum);
+    instances.noteLagging(now, instance, *work.Minimum);
   else if (!isLenderRefusal)
     work.Tried.insert(instance);
   work.LastRefusal =
@@ -312,11 +312,11 @@
                    std::string(nameOf(code)));
   Log.decision(absl::StrCat(
       "event=retry request=", work.Statement.Id, " instance=", instance.str(),
-      " code=", std::string(nameOf(code)), " sendings=", work.Sendings));
+      " code=", std::string(nameOf(code)), " sendings=", work.SendCount));
   Log.retried(code);
   if (code == ReplyCode::ReadOnly)
-    instances.noteDeniedLead(now, instance);
-  const int factor = std::min(work.Sendings, MaxPauseFactor);
+    instances.noteNotPrimary(now, instance);
+  const int factor = std::min(work.SendCount, MaxPauseFactor);
   const bool mustPause = work.PrimaryOnly && !isLenderRefusal;
   work.NotBefore = mustPause ? now + Options.RetryPause * factor : now;
   dispatch(now, session);
@@ -338,14 +338,15 @@
   if (lost.Borrower)
     Lending.lost(*lost.Borrower);
   if (lost.isBorrowed()) {
-    BadLenders[lost.Instance][lost.LenderIp] = now + Options.BadLenderPause;
+    PausedLenders[lost.Instance][lost.LenderIp] =
+        now + Options.FailedLenderPause;
     Told.forget(lost.Instance, lost.LenderIp);
   } else if (auto *known = instances.find(lost.Instance);
              known && !lost.IsReady)
-    noteDirectBad(now, *known);
+    noteDirectPathLost(now, *known);
   auto *owner = lost.Owner ? session(*lost.Owner) : nullptr;
   if (!owner)
-    return dispatchWaiting(now, lost.Service);
+    return dispatchQueue(now, lost.Service);
   if (owner->Current && owner->Current->Connection == connection) {
     if (!lost.isBorrowed())
       noteReadFailure(now, *owner, lost.Instance);
@@ -359,14 +360,14 @@
       return refuse(now, *owner, ReplyCode::Aborted,
                     "the connection broke and rolled the transaction back");
     owner->State = SessionState::Failed;
-    owner->WasAbortedAtRest = true;
+    owner->WasAbortedWhileIdle = true;
   }
 }
 
 void Proxy::handleLostStatement(TimePoint now, ClientSession &session,
                                 const InstanceId &instance) {
   auto &work = *session.Current;
-  const bool wasSent = work.Stage == WorkStage::Sent;
+  const bool wasSent = work.Stage == StatementStage::Sent;
   const bool isOpen = session.State == SessionState::InTransaction;
   const bool isCommit = work.Statement.Kind == StatementKind::Commit;
   session.Pinned.reset();
@@ -384,7 +385,7 @@
   if (wasSent && !isOpen && work.Mode == AccessMode::Write)
     return refuse(now, session, ReplyCode::OutcomeUnknown,
                   "the connection broke during the write");
-  if (work.Sendings >= MaxSends)
+  if (work.SendCount >= MaxSends)
     return refuse(now, session, ReplyCode::Aborted,
                   "the connections to the instances broke");
   notRun(now, session, ReplyCode::Aborted, instance);
--- a/src/proxy/internal/ClientSession.h
+++ b/src/proxy/internal/ClientSession.h
@@ -17,7 +17,7 @@
 
 enum class TransactionMode { None, ReadWrite, ReadOnly };
 
-enum class WorkStage {
+enum class StatementStage {
   /// Waits for a connection.
   Waiting,
   /// The transaction's start was sent, the statement not yet.
@@ -29,14 +29,14 @@
 struct PendingStatement {
   ClientStatement Statement;
   AccessMode Mode = AccessMode::Read;
-  WorkStage Stage = WorkStage::Waiting;
+  StatementStage Stage = StatementStage::Waiting;
   TimePoint ArrivedAt{};
   TimePoint Deadline{};
   TimePoint NotBefore{};
   TimePoint SentAt{};
   /// The connection that it was sent on.
   std::optional<ConnectionId> Connection;
-  int Sendings = 0;
+  int SendCount = 0;
   std::set<InstanceId> Tried;
   /// The minimum position required of the instance that it was last sent to.
   std::optional<Mark> Minimum;
@@ -47,7 +47,7 @@
   bool IsRefusedByLender = false;
   /// The number of lenders that refused it because it would wait too long
   /// there.
-  int LendersTooFull = 0;
+  int FullLenderCount = 0;
   /// It is sent only to the primary from now on.
   bool PrimaryOnly = false;
   /// It runs in a transaction that the proxy opens to prove that the instance
@@ -82,7 +82,7 @@
   bool HasWritten = false;
   /// The proxy aborted the transaction while it was idle; the client's next
   /// statement reports it.
-  bool WasAbortedAtRest = false;
+  bool WasAbortedWhileIdle = false;
   /// A statement was refused while the VM was isolated; the session ends once
   /// it is idle.
   bool MustReconnect = false;
--- a/src/proxy/internal/ConnectionPool.cpp
+++ b/src/proxy/internal/ConnectionPool.cpp
@@ -114,7 +114,7 @@
     const ConnectionShare &share, const std::string &lenderIp,
     const std::optional<OrganisationId> &organisation) {
   const bool isBorrowed = !lenderIp.empty();
-  const int own = ownAt(instance.Id);
+  const int own = ownCount(instance.Id);
   const int open = isBorrowed ? countOf(instance.Id) - own : own;
   // NOTE: a connection that replaces another needs no further capacity at the
   // instance.
@@ -171,7 +171,8 @@
   Connections.erase(it);
 }
 
-void ConnectionPool::refuseUntil(const InstanceId &instance, TimePoint until) {
+void ConnectionPool::pauseOpeningUntil(const InstanceId &instance,
+                                       TimePoint until) {
   OpeningPausedUntil[instance] = until;
 }
 
@@ -196,19 +197,19 @@
   });
 }
 
-int ConnectionPool::ownAt(const InstanceId &instance) const {
+int ConnectionPool::ownCount(const InstanceId &instance) const {
   return countIf(instance, [](const auto &it) { return !it.isBorrowed(); });
 }
 
-int ConnectionPool::ownAt(const InstanceId &instance,
-                          const OrganisationId &organisation) const {
+int ConnectionPool::ownCount(const InstanceId &instance,
+                             const OrganisationId &organisation) const {
   return countIf(instance, [&](const auto &it) {
     return !it.isBorrowed() && it.Organisation == organisation;
   });
 }
 
 std::optional<TimePoint>
-ConnectionPool::ownSince(const InstanceId &instance) const {
+ConnectionPool::ownConnectionSince(const InstanceId &instance) const {
   std::optional<TimePoint> since;
   for (const auto id : idsAt(instance)) {
     const auto &it = Connections.at(id);
@@ -220,31 +221,31 @@
 }
 
 bool ConnectionPool::isFull(TimePoint now, const InstanceId &instance) const {
-  return pauseLeft(now, instance) > Duration{};
+  return openingPauseLeft(now, instance) > Duration{};
 }
 
-Duration ConnectionPool::pauseLeft(TimePoint now,
-                                   const InstanceId &instance) const {
+Duration ConnectionPool::openingPauseLeft(TimePoint now,
+                                          const InstanceId &instance) const {
   const auto refused = OpeningPausedUntil.find(instance);
   return refused == OpeningPausedUntil.end()
              ? Duration{}
              : std::max(Duration{}, refused->second - now);
 }
 
-int ConnectionPool::openingAt(const InstanceId &instance) const {
+int ConnectionPool::openingCount(const InstanceId &instance) const {
   return countIf(
       instance, [](const auto &it) { return !it.IsReady && !it.isBorrowed(); });
 }
 
-int ConnectionPool::pinnedAt(const InstanceId &instance,
-                             const OrganisationId &organisation) const {
+int ConnectionPool::pinnedCount(const InstanceId &instance,
+                                const OrganisationId &organisation) const {
   return countIf(instance, [&](const auto &it) {
     return it.IsPinned && it.Organisation == organisation;
   });
 }
 
-int ConnectionPool::restingAt(const InstanceId &instance,
-                              TimePoint since) const {
+int ConnectionPool::idleInTransactionCount(const InstanceId &instance,
+                                           TimePoint since) const {
   return countIf(instance, [&](const auto &it) {
     const bool isHeld = it.IsPinned || it.Borrower;
     return isHeld && !it.isBorrowed() && it.Sent.empty() &&
@@ -253,7 +254,7 @@
 }
 
 std::optional<TimePoint>
-ConnectionPool::provingSince(const InstanceId &instance) const {
+ConnectionPool::proofPendingSince(const InstanceId &instance) const {
   std::optional<TimePoint> since;
   for (const auto id : idsAt(instance)) {
     const auto &sent = Connections.at(id).Sent;
@@ -266,11 +267,11 @@
   return since;
 }
 
-int ConnectionPool::busyAt(const InstanceId &instance) const {
+int ConnectionPool::busyCount(const InstanceId &instance) const {
   return countIf(instance, [](const auto &it) { return !it.Sent.empty(); });
 }
 
-int ConnectionPool::ownBusyAt(const InstanceId &instance) const {
+int ConnectionPool::ownBusyCount(const InstanceId &instance) const {
   return countIf(instance, [](const auto &it) {
     return !it.isBorrowed() && !it.Sent.empty();
   });
--- a/src/proxy/internal/ConnectionPool.h
+++ b/src/proxy/internal/ConnectionPool.h
@@ -9,7 +9,7 @@
 
 #include "membership/types/InstanceRecord.h"
 #include "proxy/internal/InstanceConnection.h"
-#include "proxy/internal/UseRates.h"
+#include "proxy/internal/UsageRates.h"
 
 #include <map>
 #include <optional>
@@ -64,7 +64,7 @@
   void close(ConnectionId id);
   void forget(ConnectionId id);
   /// Opens no new connection before \p until, since the instance refused one.
-  void refuseUntil(const InstanceId &instance, TimePoint until);
+  void pauseOpeningUntil(const InstanceId &instance, TimePoint until);
   int countOf(const InstanceId &instance) const;
   /// A copy, since handling a connection may change the pool.
   std::set<ConnectionId> idsOf(const InstanceId &instance) const {
@@ -74,31 +74,31 @@
   int countOf(const InstanceId &instance,
               const OrganisationId &organisation) const;
   /// Connections that aren't borrowed.
-  int ownAt(const InstanceId &instance) const;
-  int ownAt(const InstanceId &instance,
-            const OrganisationId &organisation) const;
+  int ownCount(const InstanceId &instance) const;
+  int ownCount(const InstanceId &instance,
+               const OrganisationId &organisation) const;
   /// When the oldest ready own connection was opened, if there is one.
-  std::optional<TimePoint> ownSince(const InstanceId &instance) const;
+  std::optional<TimePoint> ownConnectionSince(const InstanceId &instance) const;
   /// Whether the instance recently had no capacity for a new connection.
   bool isFull(TimePoint now, const InstanceId &instance) const;
   /// How long no new connection may be opened yet, after the instance had no
   /// capacity for one.
-  Duration pauseLeft(TimePoint now, const InstanceId &instance) const;
+  Duration openingPauseLeft(TimePoint now, const InstanceId &instance) const;
   /// Own connections that the instance hasn't accepted yet.
-  int openingAt(const InstanceId &instance) const;
+  int openingCount(const InstanceId &instance) const;
   /// Connections that open transactions of \p organisation hold.
-  int pinnedAt(const InstanceId &instance,
-               const OrganisationId &organisation) const;
+  int pinnedCount(const InstanceId &instance,
+                  const OrganisationId &organisation) const;
   /// Own connections that are idle in a transaction, of this VM or a borrower,
   /// since \p since or longer.
-  int restingAt(const InstanceId &instance, TimePoint since) const;
+  int idleInTransactionCount(const InstanceId &instance, TimePoint since) const;
   /// Send time of the oldest unanswered command whose answer proves whether
   /// \p instance is the primary.
-  std::optional<TimePoint> provingSince(const InstanceId &instance) const;
+  std::optional<TimePoint> proofPendingSince(const InstanceId &instance) const;
   /// Connections with commands that \p instance hasn't answered.
-  int busyAt(const InstanceId &instance) const;
+  int busyCount(const InstanceId &instance) const;
   /// The same without borrowed connections.
-  int ownBusyAt(const InstanceId &instance) const;
+  int ownBusyCount(const InstanceId &instance) const;
   /// The connections that \p lender lends.
   std::vector<ConnectionId> borrowedFrom(const std::string &lender,
                                          const InstanceId &instance) const;
@@ -123,7 +123,7 @@
   std::map<InstanceId, std::set<ConnectionId>> ByInstance;
   std::map<InstanceId, TimePoint> OpeningPausedUntil;
   /// By instance; only instances with connections have an entry.
-  std::map<InstanceId, UseRates> Rates;
+  std::map<InstanceId, UsageRates> Rates;
   std::uint64_t LastId = 0;
 };
 
--- a/src/proxy/internal/Shares.cpp
+++ b/src/proxy/internal/ConnectionSharing.cpp
@@ -6,7 +6,7 @@
 
 #include "proxy/Proxy.h"
 
-#include "overload/RetryTime.h"
+#include "overload/RetryDelay.h"
 
 #include "absl/strings/str_cat.h"
 
@@ -48,25 +48,25 @@
   membership::HomeShare share;
   // NOTE: non-home VMs use the connections that are kept free only while homes
   // are unreachable.
-  share.Guests = std::max(1, usableConnections(service) - pooled);
+  share.NonHomes = std::max(1, usableConnections(service) - pooled);
   share.Homes = std::clamp(pooled / Options.OrganisationHomeConnections, 1,
-                           Options.MostOrganisationHomes);
+                           Options.MaxOrganisationHomes);
   share.Connections = std::max(1, pooled / share.Homes);
   return share;
 }
 
-bool Proxy::isBadLender(TimePoint now, const InstanceId &instance,
-                        const std::string &lender) const {
-  const auto bad = BadLenders.find(instance);
-  if (bad == BadLenders.end())
+bool Proxy::isLenderPaused(TimePoint now, const InstanceId &instance,
+                           const std::string &lender) const {
+  const auto bad = PausedLenders.find(instance);
+  if (bad == PausedLenders.end())
     return false;
   const auto failed = bad->second.find(lender);
   return failed != bad->second.end() && failed->second > now;
 }
 
-bool Proxy::hasBadLender(TimePoint now, const InstanceId &instance) const {
-  const auto bad = BadLenders.find(instance);
-  return bad != BadLenders.end() &&
+bool Proxy::hasPausedLender(TimePoint now, const InstanceId &instance) const {
+  const auto bad = PausedLenders.find(instance);
+  return bad != PausedLenders.end() &&
          std::any_of(bad->second.begin(), bad->second.end(),
                      [&](const auto &it) { return it.second > now; });
 }
@@ -82,7 +82,7 @@
        Homes.homesOf(record.Id, record.Hall, share, *organisation)) {
     if (it == Options.OwnIp)
       return true;
-    if (!isBadLender(now, record.Id, it))
+    if (!isLenderPaused(now, record.Id, it))
       return false;
   }
   return false;
@@ -100,7 +100,7 @@
   const auto share = homeShare(service);
   if (Configuration.HasOrganisations)
     return share.Connections;
-  const int pooled = pooledConnections(service) - share.Guests;
+  const int pooled = pooledConnections(service) - share.NonHomes;
   return std::clamp(pooled / share.Homes, 1, share.Connections);
 }
 
@@ -113,11 +113,11 @@
   const auto share = homeShare(service);
   if (!Configuration.HasOrganisations)
     return share.Connections - homeConnections(service);
-  return share.Guests / (2 * share.Homes);
+  return share.NonHomes / (2 * share.Homes);
 }
 
-bool Proxy::isCautious(TimePoint now) const {
-  return now - StartedAt < Options.CautiousStart;
+bool Proxy::isRecentlyStarted(TimePoint now) const {
+  return now - StartedAt < Options.StartPhase;
 }
 
 ConnectionShare Proxy::shareOf(TimePoint now,
@@ -127,10 +127,11 @@
       return {Options.BorrowLimit, Options.BorrowLimit};
     const int own = homeConnections(record.Service);
     const int limit =
-        isCautious(now)
+        isRecentlyStarted(now)
             ? std::min(own, startConnections(record.Service))
             : own + std::min(spareConnections(record.Service),
-                             Pool.restingAt(record.Id, now - Options.RestTime));
+                             Pool.idleInTransactionCount(
+                                 record.Id, now - Options.RestTime));
     // NOTE: an idle connection is the only one of its organisation.
     const int kept = Configuration.HasOrganisations ? limit : limit / 2;
     return {std::max(1, kept), limit};
@@ -140,8 +141,8 @@
   ConnectionShare share{std::max(1, own / 2), own};
   // NOTE: after a start the share grows one connection at a time, so that each
   // VM gets one of the free connections before any VM gets two.
-  if (isCautious(now)) {
-    const auto since = Pool.ownSince(record.Id);
+  if (isRecentlyStarted(now)) {
+    const auto since = Pool.ownConnectionSince(record.Id);
     const auto grown =
         since ? static_cast<int>((now - *since) / Options.GrowthInterval) : 0;
     share.Limit = std::min(share.Limit, 1 + grown);
@@ -149,11 +150,12 @@
   return share;
 }
 
-bool Proxy::openTo(TimePoint now, const membership::InstanceRecord &record,
-                   const std::optional<OrganisationId> &organisation,
-                   bool mayBorrowBeyond, const ClientSession *session) {
+bool Proxy::openOrBorrow(TimePoint now,
+                         const membership::InstanceRecord &record,
+                         const std::optional<OrganisationId> &organisation,
+                         bool mayBorrowBeyond, const ClientSession *session) {
   const auto *known = tracker(record.Service).find(record.Id);
-  const bool isDirectBad = known && known->IsDirectBad;
+  const bool isDirectBad = known && known->IsDirectPathLost;
   const bool hasHomes = usesHomes(record.Service);
   const bool isDirect =
       !isDirectBad && (!hasHomes || isHomeFor(now, record, organisation));
@@ -161,7 +163,7 @@
   // NOTE: a VM without an own connection to a full instance borrows, since
   // other VMs have connections to it.
   const bool mustBorrow =
-      isDirect && Pool.ownAt(record.Id) == 0 && Pool.isFull(now, record.Id);
+      isDirect && Pool.ownCount(record.Id) == 0 && Pool.isFull(now, record.Id);
   if (isDirect && !mustBorrow &&
       Pool.openOne(now, record, share, "", organisation))
     return true;
@@ -174,8 +176,8 @@
                       organisation);
 }
 
-void Proxy::noteDirectBad(TimePoint now, TrackedInstance &instance) {
-  if (std::exchange(instance.IsDirectBad, true))
+void Proxy::noteDirectPathLost(TimePoint now, TrackedInstance &instance) {
+  if (std::exchange(instance.IsDirectPathLost, true))
     return;
   instance.DirectProbedAt = now;
   Log.decision(
@@ -183,9 +185,9 @@
                    " service=", instance.Record.Service));
 }
 
-bool Proxy::mustReturnToOwn(TimePoint now,
-                            const membership::InstanceRecord &record) const {
-  return !usesHomes(record.Service) && Pool.ownAt(record.Id) == 0 &&
+bool Proxy::shouldRestoreOwn(TimePoint now,
+                             const membership::InstanceRecord &record) const {
+  return !usesHomes(record.Service) && Pool.ownCount(record.Id) == 0 &&
          Pool.countOf(record.Id) > 0 && !Pool.isFull(now, record.Id);
 }
 
@@ -202,13 +204,13 @@
   // NOTE: after a power loss the homes are soon full. Connections of non-home
   // VMs would then keep the homes from opening theirs: the instance refuses
   // connections over its limit.
-  if (usesOrganisationOrder && !isCautious(now)) {
+  if (usesOrganisationOrder && !isRecentlyStarted(now)) {
     const auto nonHomes =
-        Homes.guestsOf(record.Id, record.Hall, share, *organisation);
+        Homes.nonHomesOf(record.Id, record.Hall, share, *organisation);
     lenders.insert(lenders.end(), nonHomes.begin(), nonHomes.end());
   }
   std::erase_if(lenders, [&](const auto &it) {
-    return it == Options.OwnIp || isBadLender(now, record.Id, it);
+    return it == Options.OwnIp || isLenderPaused(now, record.Id, it);
   });
   return lenders;
 }
@@ -221,7 +223,7 @@
   // NOTE: while this VM has own connections to wait for, it needs a borrowed
   // one that is free now. Requests to several lenders at once would mostly be
   // refused.
-  if (Pool.ownAt(record.Id) > 0 && hasBadLender(now, record.Id))
+  if (Pool.ownCount(record.Id) > 0 && hasPausedLender(now, record.Id))
     std::erase_if(lenders, [&](const auto &it) {
       return !Pool.borrowedFrom(it, record.Id).empty();
     });
@@ -238,16 +240,16 @@
                                         return remaining(a) < remaining(b);
                                       });
   const bool mayAskMore =
-      session->Current->LendersTooFull < Options.MostLendersTooFull;
-  const bool isFull = lacksRoom(now, *session, record.Id, lenders);
+      session->Current->FullLenderCount < Options.MaxFullLenders;
+  const bool isFull = lackCapacity(now, *session, record.Id, lenders);
   if (mayAskMore && (!isFull || Told.takeProbe(now, record.Id)))
     return *least;
   return std::nullopt;
 }
 
-bool Proxy::lacksRoom(TimePoint now, const ClientSession &session,
-                      const InstanceId &instance,
-                      const std::vector<std::string> &lenders) {
+bool Proxy::lackCapacity(TimePoint now, const ClientSession &session,
+                         const InstanceId &instance,
+                         const std::vector<std::string> &lenders) {
   int full = 0;
   for (const auto &it : lenders) {
     const bool isFull = !hasRoom(now, session, instance, it);
@@ -256,7 +258,7 @@
     full += isFull;
   }
   return full >=
-         std::min(Options.MostLendersTooFull, static_cast<int>(lenders.size()));
+         std::min(Options.MaxFullLenders, static_cast<int>(lenders.size()));
 }
 
 bool Proxy::hasRoom(TimePoint now, const ClientSession &session,
@@ -268,7 +270,7 @@
   };
   // NOTE: a lender that has reported no wait has capacity, also for late
   // statements.
-  return remaining(false) <= Patience.onTime(facts, age) ||
+  return remaining(false) <= Patience.maxOnTimeWait(facts, age) ||
          remaining(true) <= Patience.late(facts, age);
 }
 
@@ -287,14 +289,14 @@
     owner = nullptr;
   // NOTE: with own connections to wait for, this VM requested only a connection
   // that is free now.
-  const bool hasOwn = Pool.ownAt(instance) > 0;
+  const bool hasOwn = Pool.ownCount(instance) > 0;
   if (reason == LendingEnd::Full && expectedWait > Duration{} && owner &&
       !hasOwn)
-    noteTold(now, *owner, instance, lender, expectedWait);
+    noteReportedWait(now, *owner, instance, lender, expectedWait);
   else
-    BadLenders[instance][lender] =
+    PausedLenders[instance][lender] =
         now + (reason == LendingEnd::Full ? Options.FullLenderPause
-                                          : Options.BadLenderPause);
+                                          : Options.FailedLenderPause);
   if (reason == LendingEnd::Unreachable)
     tracker(it->Service).noteSilence(now, instance);
   for (const auto id : Pool.borrowedFrom(lender, instance)) {
@@ -304,16 +306,17 @@
   }
 }
 
-void Proxy::noteTold(TimePoint now, ClientSession &session,
-                     const InstanceId &instance, const std::string &lender,
-                     Duration expectedWait) {
+void Proxy::noteReportedWait(TimePoint now, ClientSession &session,
+                             const InstanceId &instance,
+                             const std::string &lender, Duration expectedWait) {
   const auto facts = factsOf(now, session);
   const Duration age = now - session.Current->ArrivedAt;
-  ++session.Current->LendersTooFull;
+  ++session.Current->FullLenderCount;
   // NOTE: the lender compared the wait with the statement's limits, which were
   // slightly longer then than now.
-  Told.note(now, instance, lender, {false, facts.Priority},
-            std::max(expectedWait, Patience.onTime(facts, age) + Duration(1)));
+  Told.note(
+      now, instance, lender, {false, facts.Priority},
+      std::max(expectedWait, Patience.maxOnTimeWait(facts, age) + Duration(1)));
   Told.note(now, instance, lender, {true, facts.Priority},
             std::max(expectedWait, Patience.late(facts, age) + Duration(1)));
 }
@@ -330,10 +333,10 @@
                  : std::vector<InstanceId>{};
 }
 
-std::optional<Duration> Proxy::toldTooLong(TimePoint now,
-                                           const ClientSession &session) {
+std::optional<Duration>
+Proxy::reportedWaitTooLong(TimePoint now, const ClientSession &session) {
   std::optional<Duration> least;
-  if (Told.hasNoWord())
+  if (Told.hasNoReports())
     return least;
   // NOTE: the statement waits for a new primary, not for a free connection.
   if (session.Current->PrimaryOnly &&
@@ -341,8 +344,9 @@
     return least;
   for (const auto &it : targetsOf(now, session)) {
     const auto *instance = tracker(session.Route.Service).find(it);
-    const auto reported =
-        instance ? toldTooLongAt(now, session, *instance) : std::nullopt;
+    const auto reported = instance
+                              ? reportedWaitTooLongAt(now, session, *instance)
+                              : std::nullopt;
     if (!reported)
       return std::nullopt;
     least = std::min(least.value_or(*reported), *reported);
@@ -350,22 +354,22 @@
   return least;
 }
 
-std::optional<Duration> Proxy::toldTooLongAt(TimePoint now,
-                                             const ClientSession &session,
-                                             const TrackedInstance &instance) {
+std::optional<Duration>
+Proxy::reportedWaitTooLongAt(TimePoint now, const ClientSession &session,
+                             const TrackedInstance &instance) {
   const auto &record = instance.Record;
   const auto &organisation = session.Organisation;
   const bool mustBorrow =
-      Pool.ownAt(record.Id) == 0 &&
-      (instance.IsDirectBad ||
+      Pool.ownCount(record.Id) == 0 &&
+      (instance.IsDirectPathLost ||
        (usesHomes(record.Service) && !isHomeFor(now, record, organisation)));
   if (!mustBorrow || Told.isEmpty(now, record.Id))
     return std::nullopt;
   const auto lenders = lendersOf(now, record, organisation);
   const bool hasAskedEnough =
-      session.Current->LendersTooFull >= Options.MostLendersTooFull;
+      session.Current->FullLenderCount >= Options.MaxFullLenders;
   if (lenders.empty() ||
-      (!hasAskedEnough && !lacksRoom(now, session, record.Id, lenders)))
+      (!hasAskedEnough && !lackCapacity(now, session, record.Id, lenders)))
     return std::nullopt;
   std::optional<Duration> least;
   for (const auto &it : lenders)
@@ -380,10 +384,10 @@
 void Proxy::refuseEarly(TimePoint now, ClientSession &session, Duration wait) {
   // NOTE: a reported wait isn't valid for longer, so the capacity after that is
   // unknown.
-  const Duration known = std::min(wait, Told.mostBelieved());
+  const Duration known = std::min(wait, Told.maxValidity());
   const Duration pause =
-      overload::retryTime(known, session.Current->Statement.Id);
-  Log.refusedForRoom(true);
+      overload::retryDelay(known, session.Current->Statement.Id);
+  Log.refusedForCapacity(true);
   refuse(
       now, session, ReplyCode::Busy,
       absl::StrCat("no home of the instance has room in time; expected wait ",
@@ -391,7 +395,7 @@
                    toMilliseconds(pause), " ms"));
 }
 
-void Proxy::endBorrowed(InstanceConnection &connection) {
+void Proxy::endBorrow(InstanceConnection &connection) {
   if (auto *it = tracker(connection.Service).find(connection.Instance))
     it->Statements = std::max(0, it->Statements - connection.statements());
   Pool.close(connection.Id);
@@ -402,7 +406,7 @@
   if (!it)
     return;
   const InstanceId instance = it->Instance;
-  BadLenders[instance][it->LenderIp] = now + Options.BadLenderPause;
+  PausedLenders[instance][it->LenderIp] = now + Options.FailedLenderPause;
   auto *owner = it->Owner ? session(*it->Owner) : nullptr;
   if (!owner || !owner->Current || owner->Current->Connection != connection)
     return;
@@ -417,9 +421,9 @@
     Io.closeConnection(connection);
     return connectionLost(now, connection);
   }
-  const bool isUnsent = work.Stage == WorkStage::Beginning;
-  const bool mayMove =
-      work.Mode == AccessMode::Read && work.Sendings < Options.MostSlowSendings;
+  const bool isUnsent = work.Stage == StatementStage::Beginning;
+  const bool mayMove = work.Mode == AccessMode::Read &&
+                       work.SendCount < Options.MaxUnansweredSends;
   if (!isUnsent && !mayMove)
     return;
   if (isOpen && owner->Pinned)
--- a/src/proxy/internal/Dispatch.cpp
+++ b/src/proxy/internal/Dispatch.cpp
@@ -40,7 +40,7 @@
                                        : dispatchRead(now, session);
   if (isSent)
     return;
-  if (const auto reported = toldTooLong(now, session))
+  if (const auto reported = reportedWaitTooLong(now, session))
     return refuseEarly(now, session, *reported);
   wait(session, work.NotBefore);
 }
@@ -59,7 +59,7 @@
   if (session.Route.MaxStaleness < Options.StalenessMargin + Options.ProofWait)
     return false;
   const auto primary = tracker(session.Route.Service).primary(now);
-  const auto since = primary ? Pool.provingSince(*primary) : std::nullopt;
+  const auto since = primary ? Pool.proofPendingSince(*primary) : std::nullopt;
   return since && now - *since < Options.ProofWait;
 }
 
@@ -72,11 +72,11 @@
     return false;
   }
   const auto *instance = instances.find(*primary);
-  if (instance && !InstanceTracker::mayStartAt(now, *instance)) {
+  if (instance && !InstanceTracker::acceptsNewWork(now, *instance)) {
     work.LastRefusal = "the primary leaves and has no successor yet";
     return false;
   }
-  if (keepsOffPrimary(now, session)) {
+  if (shedsFromPrimary(now, session)) {
     work.IsShed = true;
     work.LastRefusal = ShedReason;
     return false;
@@ -85,9 +85,9 @@
   if (!connection) {
     work.LastRefusal = absl::StrCat(
         "no free connection to the primary ", primary->str(), "; open ",
-        Pool.countOf(*primary), " busy ", Pool.busyAt(*primary), " allowed ",
+        Pool.countOf(*primary), " busy ", Pool.busyCount(*primary), " allowed ",
         instance ? instance->Running.limit() : 0, " cut ",
-        instance && instance->IsDirectBad);
+        instance && instance->IsDirectPathLost);
     return false;
   }
   const bool isOpen = session.State == SessionState::InTransaction;
@@ -121,7 +121,7 @@
   const auto primary = instances.primary(now);
   bool waitsForLocal = false;
   for (const auto &it : candidates) {
-    if (it == primary && keepsOffPrimary(now, session)) {
+    if (it == primary && shedsFromPrimary(now, session)) {
       work.IsShed = true;
       continue;
     }
@@ -130,7 +130,7 @@
       continue;
     auto *connection = acquire(now, session, it);
     if (!connection) {
-      waitsForLocal |= isLocal && Pool.busyAt(it) > 0 &&
+      waitsForLocal |= isLocal && Pool.busyCount(it) > 0 &&
                        now - work.ArrivedAt < Options.LocalityWait;
       continue;
     }
@@ -174,7 +174,7 @@
          session.Mode == TransactionMode::ReadOnly;
 }
 
-bool Proxy::keepsOffPrimary(TimePoint now, const ClientSession &session) {
+bool Proxy::shedsFromPrimary(TimePoint now, const ClientSession &session) {
   const auto &service = session.Route.Service;
   if (!mayBeShed(session)) {
     Shedder.notePrimaryNeeded(now, service);
@@ -207,11 +207,11 @@
   const auto &organisation = session.Organisation;
   if (known && isAtLimit(now, *known, organisation))
     return nullptr;
-  const bool usesDirect = !known || !known->IsDirectBad;
+  const bool usesDirect = !known || !known->IsDirectPathLost;
   auto *found =
       Pool.findFree(instance, organisation, session.Values, usesDirect);
   if (!found && known && !Pool.isOpening(instance, organisation)) {
-    openIfWorthIt(now, session, known->Record);
+    openIfWaitIsLong(now, session, known->Record);
     // NOTE: a connection borrowed from a connected VM can be used at once. VMs
     // with a few statements per second for 60 instances have no connection left
     // from the last one, and would wait 10 to 40 ms for their next tick.
@@ -229,28 +229,28 @@
   // statement waits in a home's queue doesn't show the instance's load.
   const bool isLimited =
       !usesHomes(record.Service) || isHomeFor(now, record, organisation);
-  return isLimited && Pool.busyAt(record.Id) >= instance.Running.limit();
+  return isLimited && Pool.busyCount(record.Id) >= instance.Running.limit();
 }
 
-void Proxy::openIfWorthIt(TimePoint now, const ClientSession &session,
-                          const membership::InstanceRecord &record) {
+void Proxy::openIfWaitIsLong(TimePoint now, const ClientSession &session,
+                             const membership::InstanceRecord &record) {
   const auto &work = *session.Current;
   const auto &organisation = session.Organisation;
-  const int own = Pool.ownAt(record.Id, organisation);
+  const int own = Pool.ownCount(record.Id, organisation);
   const int open = own > 0 ? own : Pool.countOf(record.Id, organisation);
   const int kept = Configuration.HasOrganisations && own > 0
                        ? 1
                        : shareOf(now, record).Floor;
   const bool isShort =
-      open < kept || Pool.pinnedAt(record.Id, organisation) == open;
+      open < kept || Pool.pinnedCount(record.Id, organisation) == open;
   // NOTE: a connection that serves a single statement is free again about as
   // soon as a new one would be open, so it is worth a short wait.
-  const bool hasWaited = now - work.ArrivedAt >= Options.BorrowDelay;
+  const bool hasWaited = now - work.ArrivedAt >= Options.ExtraConnectionDelay;
   // NOTE: an idle transaction may hold this VM's only connection to the
   // primary. A read can go to other instances.
   const bool mayBorrow = work.PrimaryOnly;
   if (isShort || hasWaited)
-    openTo(now, record, organisation, mayBorrow, &session);
+    openOrBorrow(now, record, organisation, mayBorrow, &session);
 }
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/SharedLimit.cpp
+++ b/src/proxy/internal/InstanceConcurrencyLimit.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "proxy/internal/SharedLimit.h"
+#include "proxy/internal/InstanceConcurrencyLimit.h"
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void SharedLimit::noteAnswer(double slowness, int running) {
+void InstanceConcurrencyLimit::noteAnswer(double slowness, int running) {
   SmoothedSlowness += (slowness - SmoothedSlowness) * SampleWeight;
   if (SmoothedSlowness < UsualSlowness)
     UsualSlowness = std::max(1.0, SmoothedSlowness);
@@ -38,7 +38,7 @@
   Allowed = std::clamp(Allowed, 1.0, static_cast<double>(Max));
 }
 
-int SharedLimit::limit() const {
+int InstanceConcurrencyLimit::limit() const {
   return std::clamp(static_cast<int>(Allowed), 1, Max);
 }
 
--- a/src/proxy/internal/SharedLimit.h
+++ b/src/proxy/internal/InstanceConcurrencyLimit.h
@@ -6,15 +6,15 @@
 /// messages about it: each adapts its limit to the answer times that it
 /// measures.
 
-#ifndef STEPLEDGE_PROXY_INTERNAL_SHAREDLIMIT_H
-#define STEPLEDGE_PROXY_INTERNAL_SHAREDLIMIT_H
+#ifndef STEPLEDGE_PROXY_INTERNAL_INSTANCECONCURRENCYLIMIT_H
+#define STEPLEDGE_PROXY_INTERNAL_INSTANCECONCURRENCYLIMIT_H
 
 namespace stepledge::proxy {
 
-class SharedLimit {
+class InstanceConcurrencyLimit {
 public:
   /// The limit is never above \p max statements.
-  explicit SharedLimit(int max) : Max(max), Allowed(max) {}
+  explicit InstanceConcurrencyLimit(int max) : Max(max), Allowed(max) {}
 
   /// A statement took \p slowness times as long as its route's statements
   /// usually do, while this VM had \p running statements at the instance.
@@ -38,4 +38,4 @@
 
 } // namespace stepledge::proxy
 
-#endif // STEPLEDGE_PROXY_INTERNAL_SHAREDLIMIT_H
+#endif // STEPLEDGE_PROXY_INTERNAL_INSTANCECONCURRENCYLIMIT_H
--- a/src/proxy/internal/InstanceTracker.cpp
+++ b/src/proxy/internal/InstanceTracker.cpp
@@ -65,8 +65,8 @@
 
 } // namespace
 
-bool InstanceTracker::mayStartAt(TimePoint now,
-                                 const TrackedInstance &instance) {
+bool InstanceTracker::acceptsNewWork(TimePoint now,
+                                     const TrackedInstance &instance) {
   return !instance.LeavingSince ||
          now - *instance.LeavingSince < LeavingUseTime;
 }
@@ -76,7 +76,8 @@
   const auto [found, isNew] = Instances.try_emplace(record.Id);
   auto &it = found->second;
   const auto next = isNew ? record : membership::merged(it.Record, record);
-  const bool isLaterIncarnation = !isNew && next.BornMs > it.Record.BornMs;
+  const bool isLaterIncarnation =
+      !isNew && next.StartTimeMs > it.Record.StartTimeMs;
   if (isLaterIncarnation) {
     it = {};
     Outliers.remove(record.Id);
@@ -350,24 +351,24 @@
     it->SilentSince = now;
 }
 
-void InstanceTracker::forgetSilence(const InstanceId &id) {
+void InstanceTracker::clearSilence(const InstanceId &id) {
   auto *it = find(id);
   if (!it)
     return;
   it->SilentSince.reset();
   it->AvoidUntil = {};
-  it->IsDirectBad = false;
+  it->IsDirectPathLost = false;
 }
 
-void InstanceTracker::noteDeniedLead(TimePoint now, const InstanceId &id) {
+void InstanceTracker::noteNotPrimary(TimePoint now, const InstanceId &id) {
   if (ProvenPrimary == id)
     ProvenPrimary.reset();
   if (auto *it = find(id))
     it->NotPrimaryUntil = now + NotPrimaryPause;
 }
 
-void InstanceTracker::noteBehind(TimePoint now, const InstanceId &id,
-                                 const Mark &minimum) {
+void InstanceTracker::noteLagging(TimePoint now, const InstanceId &id,
+                                  const Mark &minimum) {
   auto *it = find(id);
   if (!it)
     return;
--- a/src/proxy/internal/InstanceTracker.h
+++ b/src/proxy/internal/InstanceTracker.h
@@ -11,7 +11,7 @@
 #include "base/types/LogPosition.h"
 #include "base/types/Time.h"
 #include "membership/types/InstanceRecord.h"
-#include "proxy/internal/SharedLimit.h"
+#include "proxy/internal/InstanceConcurrencyLimit.h"
 
 #include <cstdint>
 #include <deque>
@@ -59,7 +59,7 @@
   /// connection, begin or roll back take none of the instance's slots and don't
   /// count.
   int Statements = 0;
-  SharedLimit Running{MostRunning};
+  InstanceConcurrencyLimit Running{MostRunning};
   /// Smoothed time from sending to answer.
   Duration ServiceTime = milliseconds(10);
   /// Not chosen for reads before this time, after it failed to answer.
@@ -74,13 +74,13 @@
   TimePoint NewestAnsweredSentAt{};
   /// It failed to answer on direct connections, and hasn't answered on one
   /// since.
-  bool IsDirectBad = false;
+  bool IsDirectPathLost = false;
   TimePoint DirectProbedAt{};
   /// Nothing was received on own connections since \p sentAt, and the direct
   /// path counts as lost. A single failed opening doesn't show that the other
   /// connections are silent.
   bool isSilentSince(TimePoint sentAt) const {
-    return IsDirectBad && LastDirectAnswerAt <= sentAt;
+    return IsDirectPathLost && LastDirectAnswerAt <= sentAt;
   }
   /// It has answered statements sent well after \p sentAt: the connection on
   /// which a command was sent at that time may be permanently silent.
@@ -99,7 +99,7 @@
 struct Promotion {
   InstanceId Instance;
   /// As in membership::InstanceRecord.
-  std::uint64_t BornMs = 0;
+  std::uint64_t StartTimeMs = 0;
   std::uint64_t Fence = 0;
 };
 
@@ -120,12 +120,12 @@
   bool update(TimePoint now, const membership::InstanceRecord &record);
   /// Whether new work may be sent to \p instance: not after it has been leaving
   /// for long.
-  static bool mayStartAt(TimePoint now, const TrackedInstance &instance);
+  static bool acceptsNewWork(TimePoint now, const TrackedInstance &instance);
   void remove(const InstanceId &id);
   /// Control replaced the primary.
   void notePromotion(const Promotion &promotion);
   /// Clears the silence recorded for an instance that wasn't silent.
-  void forgetSilence(const InstanceId &id);
+  void clearSilence(const InstanceId &id);
 
   TrackedInstance *find(const InstanceId &id);
   std::map<InstanceId, TrackedInstance> &all() { return Instances; }
@@ -157,15 +157,16 @@
   /// sample of the service time.
   void noteRefusal(TimePoint now, const InstanceId &id);
   void noteSilence(TimePoint now, const InstanceId &id);
-  void noteDeniedLead(TimePoint now, const InstanceId &id);
+  void noteNotPrimary(TimePoint now, const InstanceId &id);
   /// Records that \p id refused a read that needs \p minimum, which its log
   /// hasn't reached.
-  void noteBehind(TimePoint now, const InstanceId &id, const Mark &minimum);
-  void forgetProofs() { Proofs.clear(); }
+  void noteLagging(TimePoint now, const InstanceId &id, const Mark &minimum);
+  void clearProofs() { Proofs.clear(); }
 
 private:
   bool isPromoted(const membership::InstanceRecord &record) const {
-    return Promoted.Instance == record.Id && Promoted.BornMs == record.BornMs;
+    return Promoted.Instance == record.Id &&
+           Promoted.StartTimeMs == record.StartTimeMs;
   }
   /// An instance that lost its data in a restart isn't accepted as the primary
   /// by its own report while another one has the acknowledged commits.
--- a/src/proxy/internal/LendablePool.cpp
+++ b/src/proxy/internal/LendablePool.cpp
@@ -14,7 +14,7 @@
                     const InstanceId &instance,
                     const std::optional<OrganisationId> &organisation) {
   auto *known = tracker(service).find(instance);
-  if (!known || Pool.ownBusyAt(instance) >= known->Running.limit())
+  if (!known || Pool.ownBusyCount(instance) >= known->Running.limit())
     return nullptr;
   if (auto *it = Pool.findFreeDirect(instance, organisation)) {
     Pool.noteUse(now, *it);
@@ -25,7 +25,7 @@
   const bool isNonHome = usesHomes(service) && !isHomeOf(known->Record);
   // NOTE: with organisations the homes need the connections that are left on
   // the instance after a power loss.
-  if (isNonHome && Configuration.HasOrganisations && isCautious(now))
+  if (isNonHome && Configuration.HasOrganisations && isRecentlyStarted(now))
     return nullptr;
   const ConnectionShare share =
       isNonHome ? ConnectionShare{0, 1} : shareOf(now, known->Record);
@@ -36,29 +36,30 @@
   return nullptr;
 }
 
-bool Proxy::expectsFree(TimePoint now, const InstanceId &instance) {
+bool Proxy::expectsFreeConnection(TimePoint now, const InstanceId &instance) {
   // NOTE: an active client continues its transaction within a few statement
   // times, and ends it.
-  return Pool.ownAt(instance) >
-         Pool.restingAt(instance, now - Options.RestTime);
+  return Pool.ownCount(instance) >
+         Pool.idleInTransactionCount(instance, now - Options.RestTime);
 }
 
-int Proxy::usableAt(TimePoint now, const std::string &service,
-                    const InstanceId &instance) {
-  const int n =
-      Pool.ownAt(instance) - Pool.restingAt(instance, now - Options.RestTime);
+int Proxy::lendableConnections(TimePoint now, const std::string &service,
+                               const InstanceId &instance) {
+  const int n = Pool.ownCount(instance) -
+                Pool.idleInTransactionCount(instance, now - Options.RestTime);
   const auto *known = tracker(service).find(instance);
   return std::max(1, known ? std::min(n, known->Running.limit()) : n);
 }
 
-LendingRoom Proxy::roomAt(TimePoint now, const std::string &service,
-                          const InstanceId &instance) {
-  LendingRoom capacity;
-  capacity.OwnConnections = Pool.ownAt(instance);
-  capacity.Opening = Pool.openingAt(instance);
-  capacity.Busy = Pool.ownBusyAt(instance);
-  capacity.IdleInTransaction = Pool.restingAt(instance, now);
-  capacity.OpenPause = Pool.pauseLeft(now, instance);
+LendingCapacity Proxy::lendingCapacity(TimePoint now,
+                                       const std::string &service,
+                                       const InstanceId &instance) {
+  LendingCapacity capacity;
+  capacity.OwnConnections = Pool.ownCount(instance);
+  capacity.Opening = Pool.openingCount(instance);
+  capacity.Busy = Pool.ownBusyCount(instance);
+  capacity.IdleInTransaction = Pool.idleInTransactionCount(instance, now);
+  capacity.OpenPause = Pool.openingPauseLeft(now, instance);
   if (const auto *known = tracker(service).find(instance)) {
     capacity.ConnectionLimit = shareOf(now, known->Record).Limit;
     capacity.RunningLimit = known->Running.limit();
@@ -74,7 +75,7 @@
 
 bool Proxy::reaches(const std::string &service, const InstanceId &instance) {
   const auto *known = tracker(service).find(instance);
-  return known && !known->IsDirectBad;
+  return known && !known->IsDirectPathLost;
 }
 
 void Proxy::abandonLent(TimePoint now, InstanceConnection &connection) {
--- a/src/proxy/internal/Lender.cpp
+++ b/src/proxy/internal/Lender.cpp
@@ -95,15 +95,16 @@
     for (const auto &it : queue->second)
       ahead += it != key && isWaiting(it) &&
                urgencyOf(now, Borrows.at(it)) <= urgency;
-  return Loads[instance].wait(now, urgency, ahead,
-                              Pool.usableAt(now, borrow.Service, instance));
+  return Loads[instance].wait(
+      now, urgency, ahead,
+      Pool.lendableConnections(now, borrow.Service, instance));
 }
 
 void Lender::refuseOrMarkLate(TimePoint now, const BorrowKey &key) {
   auto &borrow = Borrows.at(key);
   auto &needs = borrow.PendingRequest->Needs;
   // NOTE: a client's transaction may be idle for seconds.
-  if (needs.NeedsFreeNow || !Pool.expectsFree(now, borrow.Instance))
+  if (needs.NeedsFreeNow || !Pool.expectsFreeConnection(now, borrow.Instance))
     return refuse(now, key, LendingEnd::Full);
   // NOTE: while the wait can't be estimated, the borrow keeps the queue limit,
   // so that the borrower can soon ask another home.
@@ -112,8 +113,9 @@
     return;
   const auto facts = factsOf(needs.Rank);
   const Duration age = now - needs.Rank.ArrivedAt;
-  borrow.QueueDeadline = needs.Rank.ArrivedAt + WaitLimits.lateLimit(facts);
-  if (expectedWait(now, key, false) <= WaitLimits.onTime(facts, age, held))
+  borrow.QueueDeadline = needs.Rank.ArrivedAt + WaitLimits.maxLateAge(facts);
+  if (expectedWait(now, key, false) <=
+      WaitLimits.maxOnTimeWait(facts, age, held))
     return;
   if (expectedWait(now, key, true) > WaitLimits.late(facts, age))
     return refuse(now, key, LendingEnd::Full);
@@ -153,7 +155,8 @@
   Duration wait{};
   // NOTE: while all connections are idle in transactions, the wait is unknown.
   const auto &waiting = Borrows.at(key);
-  if (reason == LendingEnd::Full && Pool.expectsFree(now, waiting.Instance))
+  if (reason == LendingEnd::Full &&
+      Pool.expectsFreeConnection(now, waiting.Instance))
     wait = expectedWait(now, key, urgencyOf(now, waiting).IsLate);
   const auto borrow = Borrows.extract(key);
   logRefusal(now, key, borrow.mapped(), reason, wait);
@@ -172,7 +175,8 @@
 void Lender::logRefusal(TimePoint now, const BorrowKey &key,
                         const Borrow &borrow, LendingEnd reason,
                         Duration wait) {
-  const auto capacity = Pool.roomAt(now, borrow.Service, borrow.Instance);
+  const auto capacity =
+      Pool.lendingCapacity(now, borrow.Service, borrow.Instance);
   const auto queue = Queues.find(borrow.Instance);
   const auto load = Loads.find(borrow.Instance);
   const Duration held = load == Loads.end() ? Duration{} : load->second.held();
@@ -217,7 +221,8 @@
   if (isOver) {
     const auto borrow = Borrows.extract(key);
     if (!borrow.empty() && borrow.mapped().IsHoldTimeCounted)
-      Loads[borrow.mapped().Instance].noteHeld(now - borrow.mapped().BoundAt);
+      Loads[borrow.mapped().Instance].noteHoldTime(now -
+                                                   borrow.mapped().BoundAt);
     connection.Borrower.reset();
   }
   if (reason != Purpose::Setup)
@@ -237,8 +242,8 @@
 }
 
 std::vector<BorrowKey>
-Lender::waitingInOrder(TimePoint now, const scheduling::LineId &queueId,
-                       const std::deque<BorrowKey> &queue) {
+Lender::servingOrder(TimePoint now, const scheduling::QueueId &queueId,
+                     const std::deque<BorrowKey> &queue) {
   std::vector<std::pair<scheduling::WaitRank, BorrowKey>> waiters;
   waiters.reserve(queue.size());
   for (const auto &it : queue)
@@ -254,7 +259,7 @@
   borrow.BoundAt = now;
   borrow.IsHoldTimeCounted = hasObjective(borrow.PendingRequest->Needs);
   if (borrow.IsHoldTimeCounted)
-    Loads[borrow.Instance].noteBegun(now, urgencyOf(now, borrow));
+    Loads[borrow.Instance].noteBorrowStart(now, urgencyOf(now, borrow));
   const auto request = std::exchange(borrow.PendingRequest, std::nullopt);
   send(now, borrow, *request);
 }
@@ -269,7 +274,7 @@
   // NOTE: an organisation without a free connection doesn't block the others.
   std::set<std::optional<OrganisationId>> unserved;
   for (const auto &key :
-       waitingInOrder(now, {service, instance}, queue->second)) {
+       servingOrder(now, {service, instance}, queue->second)) {
     const auto organisation = Borrows[key].Organisation;
     if (unserved.contains(organisation))
       continue;
@@ -291,14 +296,14 @@
   return ips;
 }
 
-Duration Lender::oldestUse(TimePoint now) const {
+Duration Lender::oldestBorrowAge(TimePoint now) const {
   Duration oldest{};
   for (const auto &[key, borrow] : Borrows)
     oldest = std::max(oldest, now - borrow.ArrivedAt);
   return oldest;
 }
 
-std::string Lender::usesOf(const std::string &ip) const {
+std::string Lender::borrowNumbersOf(const std::string &ip) const {
   std::string text;
   for (auto it = Borrows.lower_bound({ip, 0});
        it != Borrows.end() && it->first.Ip == ip; ++it)
@@ -335,9 +340,9 @@
   if (waiting.empty())
     return keys;
   const std::string &service = Borrows.at(waiting.front()).Service;
-  const int connections = Pool.usableAt(now, service, instance);
+  const int connections = Pool.lendableConnections(now, service, instance);
   int ahead = 0;
-  for (const auto &key : waitingInOrder(now, {service, instance}, waiting)) {
+  for (const auto &key : servingOrder(now, {service, instance}, waiting)) {
     const auto &borrow = Borrows.at(key);
     const Duration wait =
         Loads[instance].wait(now, urgencyOf(now, borrow), ahead, connections);
--- a/src/proxy/internal/Lender.h
+++ b/src/proxy/internal/Lender.h
@@ -8,11 +8,11 @@
 #ifndef STEPLEDGE_PROXY_INTERNAL_LENDER_H
 #define STEPLEDGE_PROXY_INTERNAL_LENDER_H
 
-#include "overload/LineLoad.h"
+#include "overload/QueueLoad.h"
 #include "overload/WaitPolicy.h"
 #include "proxy/IBorrowerIo.h"
 #include "proxy/internal/InstanceConnection.h"
-#include "scheduling/ServingLine.h"
+#include "scheduling/QueueScheduler.h"
 
 #include <deque>
 #include <map>
@@ -30,7 +30,7 @@
 };
 
 /// This VM's connections to an instance that it may lend, and their limits.
-struct LendingRoom {
+struct LendingCapacity {
   /// Own connections, including those that are being opened.
   int OwnConnections = 0;
   int Opening = 0;
@@ -66,15 +66,17 @@
                              const InstanceId &instance, TimePoint sentAt) = 0;
   /// Whether an own connection should be free soon: one is being opened, or has
   /// recently served a borrow or transaction.
-  virtual bool expectsFree(TimePoint now, const InstanceId &instance) = 0;
+  virtual bool expectsFreeConnection(TimePoint now,
+                                     const InstanceId &instance) = 0;
   /// The number of own connections to the instance, including those being
   /// opened, without those whose transactions have been idle for long; at least
   /// one.
-  virtual int usableAt(TimePoint now, const std::string &service,
-                       const InstanceId &instance) = 0;
+  virtual int lendableConnections(TimePoint now, const std::string &service,
+                                  const InstanceId &instance) = 0;
   /// For the log only; no decision depends on it.
-  virtual LendingRoom roomAt(TimePoint now, const std::string &service,
-                             const InstanceId &instance) = 0;
+  virtual LendingCapacity lendingCapacity(TimePoint now,
+                                          const std::string &service,
+                                          const InstanceId &instance) = 0;
   virtual InstanceConnection *connection(ConnectionId id) = 0;
   virtual void transmitLent(TimePoint now, InstanceConnection &connection,
                             const std::vector<OutgoingCommand> &batch) = 0;
@@ -99,7 +101,7 @@
 class Lender {
 public:
   Lender(ILendablePool &pool, IBorrowerIo &io, IProxyLog &log,
-         scheduling::ServingLine &scheduler, LenderOptions options = {})
+         scheduling::QueueScheduler &scheduler, LenderOptions options = {})
       : Pool(pool), Io(io), Log(log), Scheduler(scheduler), Options(options) {}
 
   void ask(TimePoint now, const BorrowKey &key, BorrowRequest request);
@@ -123,9 +125,9 @@
   std::set<std::string> borrowers() const;
   bool isLending() const { return !Borrows.empty(); }
   /// The age of the oldest borrow.
-  Duration oldestUse(TimePoint now) const;
+  Duration oldestBorrowAge(TimePoint now) const;
   /// The borrow numbers of \p ip, for a log line.
-  std::string usesOf(const std::string &ip) const;
+  std::string borrowNumbersOf(const std::string &ip) const;
 
 private:
   struct Borrow {
@@ -152,9 +154,9 @@
   bool isWaiting(const BorrowKey &key) const;
   void send(TimePoint now, Borrow &borrow, const BorrowRequest &request);
   /// The borrows in \p queue, in the order in which they are served.
-  std::vector<BorrowKey> waitingInOrder(TimePoint now,
-                                        const scheduling::LineId &queueId,
-                                        const std::deque<BorrowKey> &queue);
+  std::vector<BorrowKey> servingOrder(TimePoint now,
+                                      const scheduling::QueueId &queueId,
+                                      const std::deque<BorrowKey> &queue);
   void bind(TimePoint now, const BorrowKey &key,
             InstanceConnection &connection);
   /// Reports a silent instance to the borrowers that wait for its answers.
@@ -178,13 +180,13 @@
   ILendablePool &Pool;
   IBorrowerIo &Io;
   IProxyLog &Log;
-  scheduling::ServingLine &Scheduler;
+  scheduling::QueueScheduler &Scheduler;
   LenderOptions Options;
   overload::WaitPolicy WaitLimits;
   bool IsStopping = false;
   std::map<BorrowKey, Borrow> Borrows;
   std::map<InstanceId, std::deque<BorrowKey>> Queues;
-  std::map<InstanceId, overload::LineLoad> Loads;
+  std::map<InstanceId, overload::QueueLoad> Loads;
 };
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/Upkeep.cpp
+++ b/src/proxy/internal/Maintenance.cpp
@@ -38,7 +38,7 @@
     if (!clients.empty())
       waiting.push_back(service);
   for (const auto &service : waiting)
-    dispatchWaiting(now, service);
+    dispatchQueue(now, service);
 }
 
 void Proxy::reviewOutliers(TimePoint now) {
@@ -46,22 +46,22 @@
     for (const auto &it : instances->outliers().review(now))
       Log.decision(absl::StrCat(
           "event=instance_outlier instance=", it.Instance.str(),
-          " service=", service, " held_back=", it.IsHeldBack,
+          " service=", service, " held_back=", it.IsOutlier,
           " slowness=", it.Slowness, " siblings_slowness=", it.SiblingSlowness,
           " failing=", it.FailureRate,
           " siblings_failing=", it.SiblingFailureRate));
 }
 
-int Proxy::heldBackInstances() const {
+int Proxy::outlierInstances() const {
   int n = 0;
   for (const auto &[service, instances] : Trackers)
     n += instances->outliers().heldBack();
   return n;
 }
 
-void Proxy::forgetProofs() {
+void Proxy::clearProofs() {
   for (auto &[service, it] : Trackers)
-    it->forgetProofs();
+    it->clearProofs();
 }
 
 void Proxy::sweepSessions(TimePoint now) {
@@ -75,7 +75,7 @@
     if (it && it->Current)
       expireWork(now, *it);
     it = session(id);
-    if (it && it->Current && it->Current->Stage != WorkStage::Waiting)
+    if (it && it->Current && it->Current->Stage != StatementStage::Waiting)
       moveSlowStatement(now, *it);
     it = session(id);
     if (it && it->Pinned && !it->Current)
@@ -91,7 +91,7 @@
       absl::StrCat("event=transaction_idle client=", session.Id.Number));
   releasePinned(now, session);
   session.State = SessionState::Failed;
-  session.WasAbortedAtRest = true;
+  session.WasAbortedWhileIdle = true;
 }
 
 bool Proxy::awaitsSuccessor(TimePoint now, const std::string &service) {
@@ -100,7 +100,7 @@
   const auto *instance = primary ? instances.find(*primary) : nullptr;
   // NOTE: control replaces a primary that stays silent.
   return !instance || instances.isPrimaryDenied(now) || instance->SilentSince ||
-         !InstanceTracker::mayStartAt(now, *instance);
+         !InstanceTracker::acceptsNewWork(now, *instance);
 }
 
 overload::WaitFacts Proxy::factsOf(TimePoint now,
@@ -112,12 +112,12 @@
   facts.StatementTimeout = session.Route.StatementTimeout;
   facts.IsUnderWay = session.HasRunInTransaction &&
                      session.State == SessionState::InTransaction;
-  facts.AwaitsPrimary =
+  facts.IsAwaitingPrimary =
       work.PrimaryOnly && awaitsSuccessor(now, session.Route.Service);
   facts.IsShed = work.IsShed;
   // NOTE: without control this VM may get no report of a new primary, while
   // other VMs may have one.
-  facts.IsHopeless =
+  facts.IsUnsendable =
       IsIsolated || (IsControlLost && work.PrimaryOnly &&
                      !tracker(session.Route.Service).primary(now));
   return facts;
@@ -129,7 +129,7 @@
 
 void Proxy::expireWork(TimePoint now, ClientSession &session) {
   const auto &work = *session.Current;
-  if (work.Stage == WorkStage::Sent) {
+  if (work.Stage == StatementStage::Sent) {
     if (now >= work.Deadline)
       expireSent(now, session);
     return;
@@ -140,7 +140,7 @@
     return;
   const std::string reason = work.LastRefusal;
   abandonStatement(now, session);
-  Log.refusedForRoom(false);
+  Log.refusedForCapacity(false);
   refuse(now, session, ReplyCode::Busy, reason);
 }
 
@@ -203,16 +203,16 @@
                       work.Statement.Kind != StatementKind::Commit;
   if (!work.PrimaryOnly)
     return isRead;
-  const bool isUnsent = work.Stage == WorkStage::Beginning;
+  const bool isUnsent = work.Stage == StatementStage::Beginning;
   // Another attempt at the primary is useful only over another path.
   const bool isPathBad =
-      instance.IsDirectBad || instance.hasAnsweredLater(work.SentAt);
+      instance.IsDirectPathLost || instance.hasAnsweredLater(work.SentAt);
   return !connection.isBorrowed() && isPathBad && (isRead || isUnsent);
 }
 
 bool Proxy::isWorthMoving(TimePoint now, const ClientSession &session) {
   const auto &work = *session.Current;
-  const auto usual = UsualWork.usual(session.Route);
+  const auto usual = StatementTimes.usual(session.Route);
   // NOTE: where reads wait, the siblings have no capacity for one more.
   const auto waiting = Waiting.find(session.Route.Service);
   if (waiting != Waiting.end() && !waiting->second.empty())
@@ -246,19 +246,19 @@
     return;
   if (isOpen && session.HasRunInTransaction)
     return abortSilentTransaction(now, session, *connection, *instance);
-  if (work.Sendings >= Options.MostSlowSendings ||
+  if (work.SendCount >= Options.MaxUnansweredSends ||
       !isMovable(session, *connection, *instance))
     return;
   // NOTE: a late move also counts against the budget, but is never refused.
-  const bool hasBudget = SecondTries.take();
+  const bool hasBudget = ReadRetryBudget.take();
   if (isEarly && !hasBudget)
     return;
   const InstanceId slow = connection->Instance;
   auto &instances = tracker(connection->Service);
   const bool isSilent = instance->LastAnswerAt < work.SentAt;
   if (isSharedRead(session))
-    instances.outliers().noteAnswer(now, slow,
-                                    UsualWork.slowness(session.Route, waited));
+    instances.outliers().noteAnswer(
+        now, slow, StatementTimes.slowness(session.Route, waited));
   if (isSilent)
     noteReadFailure(now, session, slow);
   if (!isEarly)
@@ -290,22 +290,23 @@
   if (now - probedAt < Options.ProofInterval / 2)
     return;
   const InstanceId &id = instance.Record.Id;
-  if (auto *it = Pool.findForProbe(id, !instance.IsDirectBad, ofQuestions())) {
+  if (auto *it = Pool.findForProbe(id, !instance.IsDirectPathLost,
+                                   probeOrganisation())) {
     probedAt = now;
     return sendProbe(now, *it);
   }
-  const bool hasNoDirect = instance.IsDirectBad || Pool.ownAt(id) == 0;
+  const bool hasNoDirect = instance.IsDirectPathLost || Pool.ownCount(id) == 0;
   if (hasNoDirect && !Pool.isOpening(id))
-    openTo(now, instance.Record, ofQuestions());
+    openOrBorrow(now, instance.Record, probeOrganisation());
 }
 
 void Proxy::restoreOwnConnections(TimePoint now) {
   for (const auto &service : Watch.watched(now))
     for (auto &[id, instance] : tracker(service).all()) {
-      if (instance.IsDirectBad)
+      if (instance.IsDirectPathLost)
         probeDirectPath(now, instance);
-      else if (mustReturnToOwn(now, instance.Record))
-        openTo(now, instance.Record, ofQuestions());
+      else if (shouldRestoreOwn(now, instance.Record))
+        openOrBorrow(now, instance.Record, probeOrganisation());
     }
 }
 
@@ -316,11 +317,13 @@
     return;
   probedAt = now;
   for (auto &[id, it] : instances.all()) {
-    auto *connection = Pool.findForProbe(id, !it.IsDirectBad, ofQuestions());
+    auto *connection =
+        Pool.findForProbe(id, !it.IsDirectPathLost, probeOrganisation());
     if (connection)
       sendProbe(now, *connection);
-    else if (!Pool.isOpening(id) && (it.IsDirectBad || Pool.countOf(id) == 0))
-      openTo(now, it.Record, ofQuestions());
+    else if (!Pool.isOpening(id) &&
+             (it.IsDirectPathLost || Pool.countOf(id) == 0))
+      openOrBorrow(now, it.Record, probeOrganisation());
   }
 }
 
@@ -332,10 +335,10 @@
   if (auto *connection = Pool.findFreeDirect(record.Id, std::nullopt))
     sendProbe(now, *connection);
   else if (!Pool.isOpening(record.Id))
-    Pool.openOne(now, record, shareOf(now, record), "", ofQuestions());
+    Pool.openOne(now, record, shareOf(now, record), "", probeOrganisation());
 }
 
-bool Proxy::isUnneeded(TimePoint now, const InstanceConnection &connection) {
+bool Proxy::isSurplus(TimePoint now, const InstanceConnection &connection) {
   if (!connection.isFree())
     return false;
   const auto *instance = tracker(connection.Service).find(connection.Instance);
@@ -352,14 +355,15 @@
     return false;
   // NOTE: a VM that is no longer a home closes its connections.
   if (usesHomes(connection.Service))
-    return !isHomeOf(instance->Record) && idle > Options.ForeignLifetime;
+    return !isHomeOf(instance->Record) && idle > Options.NonHomeLifetime;
   // NOTE: the share shrinks when a VM comes back. Connections kept beyond it
   // would use up all connections of the instance after a power loss.
-  return Pool.ownAt(connection.Instance) > share.Limit;
+  return Pool.ownCount(connection.Instance) > share.Limit;
 }
 
-bool Proxy::isDead(TimePoint now, const InstanceConnection &connection) {
-  if (!connection.IsReady && now - connection.OpenedAt > Options.ConnectLimit)
+bool Proxy::isUnresponsive(TimePoint now,
+                           const InstanceConnection &connection) {
+  if (!connection.IsReady && now - connection.OpenedAt > Options.ConnectTimeout)
     return true;
   if (!connection.IsAbandoned || connection.Sent.empty())
     return false;
@@ -384,16 +388,16 @@
   if (!instance->SilentSince)
     instance->SilentSince = std::max(sentAt, instance->LastAnswerAt);
   if (!connection.isBorrowed())
-    noteDirectBad(now, *instance);
+    noteDirectPathLost(now, *instance);
 }
 
 void Proxy::sweepConnections(TimePoint now) {
   std::vector<ConnectionId> dead;
   std::vector<ConnectionId> spare;
   for (auto &[id, it] : Pool.all()) {
-    if (isDead(now, it))
+    if (isUnresponsive(now, it))
       dead.push_back(id);
-    if (isUnneeded(now, it))
+    if (isSurplus(now, it))
       spare.push_back(id);
     noteSilenceOn(now, it);
   }
--- a/src/proxy/internal/RouteWork.cpp
+++ b/src/proxy/internal/RouteStatementTimes.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "proxy/internal/RouteWork.h"
+#include "proxy/internal/RouteStatementTimes.h"
 
 namespace stepledge::proxy {
 
@@ -17,8 +17,8 @@
 
 } // namespace
 
-void RouteWork::note(const control::Route &route, Duration took,
-                     double congestion) {
+void RouteStatementTimes::note(const control::Route &route, Duration took,
+                               double congestion) {
   if (congestion >= MaxUncongestedRatio)
     return;
   const double sample = toMilliseconds(took);
@@ -27,7 +27,8 @@
     it->second += (sample - it->second) * SampleWeight;
 }
 
-std::optional<Duration> RouteWork::usual(const control::Route &route) const {
+std::optional<Duration>
+RouteStatementTimes::usual(const control::Route &route) const {
   const auto it = Usual.find(route.Database);
   if (it == Usual.end())
     return std::nullopt;
@@ -35,7 +36,8 @@
   return Duration(static_cast<std::int64_t>(it->second * MicrosecondsPerMs));
 }
 
-double RouteWork::slowness(const control::Route &route, Duration took) const {
+double RouteStatementTimes::slowness(const control::Route &route,
+                                     Duration took) const {
   const auto it = Usual.find(route.Database);
   if (it == Usual.end() || it->second <= 0)
     return 1.0;
--- a/src/proxy/internal/RouteWork.h
+++ b/src/proxy/internal/RouteStatementTimes.h
@@ -4,8 +4,8 @@
 /// \file How long the statements of each route usually take at an instance, so
 /// that a queue there can be distinguished from longer statements.
 
-#ifndef STEPLEDGE_PROXY_INTERNAL_ROUTEWORK_H
-#define STEPLEDGE_PROXY_INTERNAL_ROUTEWORK_H
+#ifndef STEPLEDGE_PROXY_INTERNAL_ROUTESTATEMENTTIMES_H
+#define STEPLEDGE_PROXY_INTERNAL_ROUTESTATEMENTTIMES_H
 
 #include "base/types/Time.h"
 #include "control/types/Configuration.h"
@@ -15,7 +15,7 @@
 
 namespace stepledge::proxy {
 
-class RouteWork {
+class RouteStatementTimes {
 public:
   /// Records that a statement of \p route took \p took at an instance whose
   /// answers take \p congestion times as long as usual.
@@ -33,4 +33,4 @@
 
 } // namespace stepledge::proxy
 
-#endif // STEPLEDGE_PROXY_INTERNAL_ROUTEWORK_H
+#endif // STEPLEDGE_PROXY_INTERNAL_ROUTESTATEMENTTIMES_H
--- a/src/proxy/internal/Sending.cpp
+++ b/src/proxy/internal/Sending.cpp
@@ -44,26 +44,26 @@
                       InstanceConnection &connection,
                       const std::optional<Mark> &minimum) {
   auto &work = *session.Current;
-  stopWaiting(session);
-  work.Stage = WorkStage::Beginning;
+  removeFromQueue(session);
+  work.Stage = StatementStage::Beginning;
   work.SentAt = now;
   work.Connection = connection.Id;
   work.Minimum = minimum;
-  ++work.Sendings;
+  ++work.SendCount;
   connection.Owner = session.Id;
   auto begin = commandOf(minimum ? CommandKind::BeginRead : CommandKind::Begin);
   begin.MinimumPosition = minimum;
   transmit(now, connection, {{std::move(begin), Purpose::Begin}},
            {{},
             rankOf(session),
-            Pool.ownAt(connection.Instance, session.Organisation) > 0});
+            Pool.ownCount(connection.Instance, session.Organisation) > 0});
 }
 
 void Proxy::sendStatement(TimePoint now, ClientSession &session,
                           InstanceConnection &connection,
                           const std::optional<Mark> &minimum) {
   auto &work = *session.Current;
-  stopWaiting(session);
+  removeFromQueue(session);
   // NOTE: a borrowed connection is set up by its lender.
   std::vector<InstanceCommand> setup;
   if (!connection.isBorrowed())
@@ -77,17 +77,17 @@
   batch.push_back({std::move(command), Purpose::Statement});
   if (work.IsWrapped)
     batch.push_back({commandOf(CommandKind::Rollback), Purpose::End});
-  if (work.Stage != WorkStage::Beginning) {
+  if (work.Stage != StatementStage::Beginning) {
     work.Minimum = minimum;
-    ++work.Sendings;
+    ++work.SendCount;
   }
-  work.Stage = WorkStage::Sent;
+  work.Stage = StatementStage::Sent;
   work.SentAt = now;
   work.Connection = connection.Id;
   connection.Owner = session.Id;
   transmit(now, connection, batch,
            {session.Values, rankOf(session),
-            Pool.ownAt(connection.Instance, session.Organisation) > 0});
+            Pool.ownCount(connection.Instance, session.Organisation) > 0});
 }
 
 void Proxy::sendProbe(TimePoint now, InstanceConnection &connection) {
@@ -135,7 +135,7 @@
 
 void Proxy::abandonStatement(TimePoint now, ClientSession &session) {
   auto &work = *session.Current;
-  stopWaiting(session);
+  removeFromQueue(session);
   if (!work.Connection || session.Pinned)
     return;
   auto *connection = Pool.find(*work.Connection);
@@ -144,10 +144,10 @@
   // NOTE: an abandoned borrow ends at its lender too, and a new one costs
   // nothing.
   if (connection->isBorrowed())
-    return endBorrowed(*connection);
+    return endBorrow(*connection);
   connection->Owner.reset();
   connection->IsAbandoned = true;
-  if (work.Stage == WorkStage::Beginning)
+  if (work.Stage == StatementStage::Beginning)
     rollBack(now, *connection);
 }
 
@@ -158,14 +158,14 @@
   if (connection.IsRefused && connection.Sent.empty()) {
     const std::string refused = connection.Service;
     Pool.close(connection.Id);
-    return dispatchWaiting(now, refused);
+    return dispatchQueue(now, refused);
   }
   if (!connection.isFree())
     return;
   const std::string service = connection.Service;
   const InstanceId instance = connection.Instance;
   Lending.pump(now, service, instance);
-  dispatchWaiting(now, service);
+  dispatchQueue(now, service);
 }
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/SessionEnds.cpp
+++ b/src/proxy/internal/SessionEnds.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-void Proxy::clientLeft(TimePoint now, ClientId client) {
+void Proxy::clientDisconnected(TimePoint now, ClientId client) {
   logAbandonedStatement(now, client);
   removeClient(now, client);
 }
@@ -70,12 +70,12 @@
   if (!it || !it->Current)
     return;
   const auto &work = *it->Current;
-  const bool wasSent = work.Stage == WorkStage::Sent;
+  const bool wasSent = work.Stage == StatementStage::Sent;
   Log.decision(absl::StrCat(
       "event=statement_given_up client=", client.Number,
       " request=", work.Statement.Id.empty() ? "-" : work.Statement.Id,
       " database=", it->Database.str(), " stage=", wasSent ? "sent" : "waiting",
-      " sendings=", work.Sendings,
+      " sendings=", work.SendCount,
       " waited_ms=", toMilliseconds(now - work.ArrivedAt)));
   Log.givenUp(wasSent);
 }
--- a/src/proxy/internal/Waiting.cpp
+++ b/src/proxy/internal/StatementQueue.cpp
@@ -13,14 +13,14 @@
 
 void Proxy::wait(ClientSession &session, TimePoint notBefore) {
   auto &work = *session.Current;
-  work.Stage = WorkStage::Waiting;
+  work.Stage = StatementStage::Waiting;
   work.Connection.reset();
   work.NotBefore = notBefore;
   Waiting[session.Route.Service].insert(
       {session.Route.Priority, work.ArrivedAt, session.Id});
 }
 
-void Proxy::stopWaiting(ClientSession &session) {
+void Proxy::removeFromQueue(ClientSession &session) {
   if (!session.Current)
     return;
   Waiting[session.Route.Service].erase(
@@ -32,8 +32,8 @@
           session.Current->ArrivedAt, session.Organisation};
 }
 
-std::vector<ClientId> Proxy::waitingInOrder(TimePoint now,
-                                            const std::string &service) {
+std::vector<ClientId> Proxy::servingOrder(TimePoint now,
+                                          const std::string &service) {
   const auto queue = Waiting.find(service);
   if (queue == Waiting.end())
     return {};
@@ -64,11 +64,11 @@
                connection.isBorrowed() ? std::min(took, usual) : took);
 }
 
-void Proxy::dispatchWaiting(TimePoint now, const std::string &service) {
-  for (const auto it : waitingInOrder(now, service)) {
+void Proxy::dispatchQueue(TimePoint now, const std::string &service) {
+  for (const auto it : servingOrder(now, service)) {
     auto *waiter = session(it);
     if (waiter && waiter->Current &&
-        waiter->Current->Stage == WorkStage::Waiting)
+        waiter->Current->Stage == StatementStage::Waiting)
       dispatch(now, *waiter);
   }
 }
--- a/src/proxy/internal/UseRates.cpp
+++ b/src/proxy/internal/UsageRates.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "proxy/internal/UseRates.h"
+#include "proxy/internal/UsageRates.h"
 
 #include <chrono>
 #include <cmath>
@@ -20,12 +20,12 @@
 
 } // namespace
 
-double UseRates::weightAt(TimePoint now, const DecayedCount &count) {
+double UsageRates::weightAt(TimePoint now, const DecayedCount &count) {
   const std::chrono::duration<double> passed = now - count.At;
   return count.Weight * std::exp(-passed / DecayTime);
 }
 
-void UseRates::note(TimePoint now, const OrganisationId &organisation) {
+void UsageRates::note(TimePoint now, const OrganisationId &organisation) {
   const auto [it, isNew] = Counts.try_emplace(organisation);
   it->second = {weightAt(now, it->second) + 1, now};
   if (isNew)
@@ -34,7 +34,7 @@
     });
 }
 
-double UseRates::of(TimePoint now, const OrganisationId &organisation) const {
+double UsageRates::of(TimePoint now, const OrganisationId &organisation) const {
   const auto it = Counts.find(organisation);
   return it == Counts.end() ? 0 : weightAt(now, it->second);
 }
--- a/src/proxy/internal/UseRates.h
+++ b/src/proxy/internal/UsageRates.h
@@ -4,8 +4,8 @@
 /// \file How often each organisation has recently used one instance. Decides
 /// whose connection is closed to free a slot for another organisation.
 
-#ifndef STEPLEDGE_PROXY_INTERNAL_USERATES_H
-#define STEPLEDGE_PROXY_INTERNAL_USERATES_H
+#ifndef STEPLEDGE_PROXY_INTERNAL_USAGERATES_H
+#define STEPLEDGE_PROXY_INTERNAL_USAGERATES_H
 
 #include "base/types/Ids.h"
 #include "base/types/Time.h"
@@ -14,7 +14,7 @@
 
 namespace stepledge::proxy {
 
-class UseRates {
+class UsageRates {
 public:
   /// Counts one use of \p organisation: a statement or transaction.
   void note(TimePoint now, const OrganisationId &organisation);
@@ -35,4 +35,4 @@
 
 } // namespace stepledge::proxy
 
-#endif // STEPLEDGE_PROXY_INTERNAL_USERATES_H
+#endif // STEPLEDGE_PROXY_INTERNAL_USAGERATES_H
--- a/src/proxy/tests/ConnectionPoolTest.cpp
+++ b/src/proxy/tests/ConnectionPoolTest.cpp
@@ -47,7 +47,7 @@
   }
 
   bool holds(const OrganisationId &organisation) const {
-    return Pool.ownAt(Instance.Id, organisation) > 0;
+    return Pool.ownCount(Instance.Id, organisation) > 0;
   }
 
   FakeIo Io;
@@ -140,23 +140,23 @@
   home.use(organisation(1));
   home.use(organisation(2));
   // After a power loss the instance has no free connection for some seconds.
-  home.Pool.refuseUntil(home.Instance.Id, home.Now + milliseconds(1000));
+  home.Pool.pauseOpeningUntil(home.Instance.Id, home.Now + milliseconds(1000));
   CHECK(home.use(organisation(3)));
-  CHECK(home.Pool.ownAt(home.Instance.Id) == 2);
+  CHECK(home.Pool.ownCount(home.Instance.Id) == 2);
   CHECK(home.holds(organisation(3)));
 }
 
 TEST_CASE("ConnectionPool_VmWithoutConnectionsOpensNoneAtAFullInstance") {
   Home home;
-  home.Pool.refuseUntil(home.Instance.Id, home.Now + milliseconds(1000));
+  home.Pool.pauseOpeningUntil(home.Instance.Id, home.Now + milliseconds(1000));
   CHECK_FALSE(home.Pool.openOne(home.Now, home.Instance,
                                 {HomeConnections, HomeConnections}, "",
                                 organisation(1)));
   CHECK(home.Io.Opened.empty());
 }
 
-TEST_CASE("UseRates_InactiveOrganisationsAreRemoved") {
-  UseRates rates;
+TEST_CASE("UsageRates_InactiveOrganisationsAreRemoved") {
+  UsageRates rates;
   TimePoint now(std::chrono::seconds(1));
   for (std::size_t i = 0; i < 1000; ++i) {
     now += milliseconds(500);
--- a/src/proxy/tests/FakeIo.h
+++ b/src/proxy/tests/FakeIo.h
@@ -62,7 +62,7 @@
   void endBorrower(const BorrowKey &key, LendingEnd reason,
                    Duration expectedWait) override {
     Ended[key] = reason;
-    ToldWaits[key] = expectedWait;
+    ReportedWaits[key] = expectedWait;
     Told.push_back("end");
   }
 
@@ -80,7 +80,7 @@
   /// The replies and reports sent to borrowers.
   std::map<BorrowKey, std::vector<StatementReply>> Lent;
   std::map<BorrowKey, LendingEnd> Ended;
-  std::map<BorrowKey, Duration> ToldWaits;
+  std::map<BorrowKey, Duration> ReportedWaits;
   /// The kinds of these messages, in the order of sending.
   std::vector<std::string> Told;
 };
--- a/src/proxy/tests/SharedLimitTest.cpp
+++ b/src/proxy/tests/InstanceConcurrencyLimitTest.cpp
@@ -4,7 +4,7 @@
 /// \file The limit on concurrent statements at an instance that other VMs use
 /// too, adapted to answer times.
 
-#include "proxy/internal/SharedLimit.h"
+#include "proxy/internal/InstanceConcurrencyLimit.h"
 
 #include <doctest/doctest.h>
 
@@ -17,18 +17,18 @@
 
 } // namespace
 
-TEST_CASE("SharedLimit_FallsIfOtherVmsFillTheQueue") {
+TEST_CASE("InstanceConcurrencyLimit_FallsIfOtherVmsFillTheQueue") {
   // Six times the usual time: a queue that this VM's own statements don't
   // cause.
-  SharedLimit limit(Max);
+  InstanceConcurrencyLimit limit(Max);
   for (int i = 0; i < 60; ++i)
     limit.noteAnswer(6.0, 1);
   CHECK(limit.limit() == 1);
   CHECK(limit.congestion() > 4.0);
 }
 
-TEST_CASE("SharedLimit_RisesAgainOnceTheQueueIsGone") {
-  SharedLimit limit(Max);
+TEST_CASE("InstanceConcurrencyLimit_RisesAgainOnceTheQueueIsGone") {
+  InstanceConcurrencyLimit limit(Max);
   for (int i = 0; i < 60; ++i)
     limit.noteAnswer(6.0, 1);
   for (int i = 0; i < 80; ++i)
@@ -36,16 +36,16 @@
   CHECK(limit.limit() == Max);
 }
 
-TEST_CASE("SharedLimit_OrdinaryVariationDoesNotLowerTheLimit") {
-  SharedLimit limit(Max);
+TEST_CASE("InstanceConcurrencyLimit_OrdinaryVariationDoesNotLowerTheLimit") {
+  InstanceConcurrencyLimit limit(Max);
   for (int i = 0; i < 200; ++i)
     limit.noteAnswer(i % 2 == 0 ? 0.3 : 2.2, 2);
   CHECK(limit.limit() == Max);
 }
 
-TEST_CASE("SharedLimit_LastingSlownessBecomesUsual") {
+TEST_CASE("InstanceConcurrencyLimit_LastingSlownessBecomesUsual") {
   // A permanently slower instance must not stay limited to one statement.
-  SharedLimit limit(Max);
+  InstanceConcurrencyLimit limit(Max);
   for (int i = 0; i < 3000; ++i)
     limit.noteAnswer(6.0, 1);
   CHECK(limit.congestion() < 3.0);
--- a/src/proxy/tests/LenderTest.cpp
+++ b/src/proxy/tests/LenderTest.cpp
@@ -41,24 +41,25 @@
     (void)sentAt;
     return !IsReachable;
   }
-  bool expectsFree(TimePoint now, const InstanceId &instance) override {
+  bool expectsFreeConnection(TimePoint now,
+                             const InstanceId &instance) override {
     (void)now;
     (void)instance;
     return IsFreeExpected;
   }
-  int usableAt(TimePoint now, const std::string &service,
-               const InstanceId &instance) override {
+  int lendableConnections(TimePoint now, const std::string &service,
+                          const InstanceId &instance) override {
     (void)now;
     (void)service;
     (void)instance;
     return UsableConnections;
   }
-  LendingRoom roomAt(TimePoint now, const std::string &service,
-                     const InstanceId &instance) override {
+  LendingCapacity lendingCapacity(TimePoint now, const std::string &service,
+                                  const InstanceId &instance) override {
     (void)now;
     (void)service;
     (void)instance;
-    LendingRoom capacity;
+    LendingCapacity capacity;
     capacity.OwnConnections = HasConnection;
     return capacity;
   }
@@ -150,7 +151,7 @@
 
   tests::FakeIo Io;
   SingleConnectionPool Pool;
-  scheduling::ServingLine Scheduler;
+  scheduling::QueueScheduler Scheduler;
   Lender Lending{Pool, Io, Io, Scheduler};
   TimePoint Now = TimePoint(std::chrono::seconds(1));
 };
@@ -268,7 +269,7 @@
   it.Pool.IsFreeExpected = false;
   it.askWithObjective(1, 1, milliseconds(250));
   CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Full);
-  CHECK(it.Io.ToldWaits[{"10.0.0.9", 1}] == Duration{});
+  CHECK(it.Io.ReportedWaits[{"10.0.0.9", 1}] == Duration{});
 }
 
 TEST_CASE("Lender_RefusesAtOnceABorrowerThatNeedsAFreeConnectionNow") {
@@ -366,7 +367,7 @@
   CHECK(number > 4);
   CHECK(number < 14);
   CHECK(it.Io.Ended[{"10.0.0.9", number}] == LendingEnd::Full);
-  CHECK(it.Io.ToldWaits[{"10.0.0.9", number}] > milliseconds(100));
+  CHECK(it.Io.ReportedWaits[{"10.0.0.9", number}] > milliseconds(100));
   CHECK(it.Io.Lines.back().find("expected_wait_ms=") != std::string::npos);
   // A borrow with a longer objective is still queued.
   it.askWithObjective(100, 0, milliseconds(1200));
@@ -437,5 +438,5 @@
   CHECK(it.Io.Ended.empty());
   it.Lending.tick(it.Now + LenderOptions().QueueTimeout + milliseconds(1));
   REQUIRE(it.Io.Ended.size() == 20);
-  CHECK(it.Io.ToldWaits[{"10.0.0.9", 1}] == Duration{});
+  CHECK(it.Io.ReportedWaits[{"10.0.0.9", 1}] == Duration{});
 }
--- a/src/proxy/tests/OrganisationFixture.h
+++ b/src/proxy/tests/OrganisationFixture.h
@@ -45,7 +45,7 @@
   /// Returns the connection that carries the write.
   ConnectionId sendWrite(ClientId client, const char *text) {
     ask(client, StatementKind::Write, text);
-    answerOwn(markOf(3, 100));
+    answerProxyCommands(markOf(3, 100));
     const auto carrier = carrierOf(text);
     REQUIRE(carrier);
     return *carrier;
--- a/src/proxy/tests/OrganisationTest.cpp
+++ b/src/proxy/tests/OrganisationTest.cpp
@@ -44,7 +44,7 @@
            text.c_str());
     for (int step = 0; step < 10 && !it.carrierOf(text); ++step) {
       it.advance(milliseconds(10));
-      it.answerOwn(markOf(3, 100));
+      it.answerProxyCommands(markOf(3, 100));
     }
     const auto carrier = it.carrierOf(text);
     REQUIRE(carrier);
@@ -62,9 +62,9 @@
     const std::string text = std::string("WRITE by ") + name;
     it.ask(it.connectWith("current", std::string(name) + "-key"),
            StatementKind::Write, text.c_str());
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
     it.advance(milliseconds(30));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
     const auto carrier = it.carrierOf(text);
     REQUIRE(carrier);
     CHECK(it.ownOpen("p") == 1);
@@ -112,7 +112,7 @@
   it.removeKey("red");
   REQUIRE_FALSE(it.Io.Sent[carrier].empty());
   CHECK(it.Io.Sent[carrier].back().Kind == CommandKind::Rollback);
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   it.ask(red, StatementKind::Commit, "COMMIT");
   CHECK(it.lastAnswer(red).Code == ReplyCode::Unauthorised);
   CHECK_FALSE(it.carrierOf("COMMIT"));
@@ -140,7 +140,7 @@
   it.NextConfiguration.Organisations[OrganisationId("red")].Keys = {
       KeyDigest::of("red-key")};
   it.applyNextConfiguration();
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   it.ask(red, StatementKind::Rollback, "ROLLBACK");
   CHECK_FALSE(it.Io.Rejected.contains(red));
   it.sendWrite(red, "WRITE x 2");
@@ -155,7 +155,7 @@
   it.NextConfiguration.Organisations[OrganisationId("blue")].Keys.insert(
       KeyDigest::of("red-key"));
   it.applyNextConfiguration();
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   it.ask(client, StatementKind::Write, "WRITE x 2");
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
   it.ask(client, StatementKind::Rollback, "ROLLBACK");
@@ -208,7 +208,7 @@
   it.Quota.Verdict = quota::QuotaVerdict::Granted;
   it.Core.quotaChanged(it.Now, OrganisationId("red"));
   it.connectAll();
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   CHECK(it.carrierOf("WRITE x 1"));
 }
 
@@ -218,7 +218,7 @@
   it.Quota.Asked.clear();
   it.beginTransaction(red);
   it.ask(red, StatementKind::Write, "WRITE x 2");
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   CHECK(it.Quota.Asked == std::vector<OrganisationId>{OrganisationId("red")});
   const auto carrier = it.carrierOf("WRITE x 2");
   REQUIRE(carrier);
@@ -310,9 +310,9 @@
   it.applyNextConfiguration();
   it.ask(it.connectWith("current", "red-key"), StatementKind::Write,
          "WRITE red 1");
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   it.advance(milliseconds(30));
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   const auto carrier = it.carrierOf("WRITE red 1");
   REQUIRE(carrier);
   it.ask(it.connectWith("current", "red-key"), StatementKind::Write,
@@ -325,5 +325,5 @@
   it.answer(*carrier, it.replyAt(markOf(3, 101)));
   CHECK(it.carrierOf("WRITE blue"));
   CHECK(!it.carrierOf("WRITE red 2"));
-  CHECK(it.Core.heldBackOrganisations(it.Now) == 1);
+  CHECK(it.Core.organisationsOverShare(it.Now) == 1);
 }
--- a/src/proxy/tests/OverloadTest.cpp
+++ b/src/proxy/tests/OverloadTest.cpp
@@ -64,7 +64,7 @@
   shareWith(it, 2, 4);
   for (int i = 0; i < 40; ++i) {
     it.advance(milliseconds(100));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
 }
 
@@ -82,7 +82,7 @@
   it.ask(client, StatementKind::Write, text.c_str());
   for (int i = 0; i < 6; ++i) {
     it.advance(milliseconds(10));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
   const auto carrier = it.carrierOf(text);
   REQUIRE(carrier);
@@ -100,7 +100,7 @@
   it.ask(it.connect("current"), StatementKind::Write, "WRITE c 1");
   for (int i = 0; i < 6; ++i) {
     it.advance(milliseconds(10));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
 }
 
@@ -122,12 +122,12 @@
   it.ask(it.connect("bounded"), StatementKind::Read, text.c_str());
   for (int n = 0; n < 10 && !it.carrierOf(text); ++n) {
     it.advance(milliseconds(2));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
   const auto carrier = it.carrierOf(text);
   if (carrier)
     it.answer(*carrier, Fixture::replyAt(markOf(3, 100)));
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   return carrier.has_value();
 }
 
@@ -150,14 +150,14 @@
     it.ask(it.connect(database), StatementKind::Write, text.c_str());
     for (int n = 0; n < 10 && !it.carrierOf(text); ++n) {
       it.advance(milliseconds(1));
-      it.answerOwn(markOf(3, 100));
+      it.answerProxyCommands(markOf(3, 100));
     }
     const auto carrier = it.carrierOf(text);
     INFO(text, " n ", i, " last ",
          it.Io.Lines.empty() ? "" : it.Io.Lines.back());
     REQUIRE(carrier);
     it.advance(took);
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
     it.answer(*carrier, Fixture::replyAt(markOf(3, 100)));
   }
 }
@@ -179,7 +179,7 @@
   const auto replica = sendReadThatReplicaRefuses(it, "READ first");
   it.ask(it.connect("bounded"), StatementKind::Read, "READ second");
   it.advance(milliseconds(10));
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   CHECK(statementsSentTo(it, replica) == 0);
 }
 
@@ -188,11 +188,11 @@
   it.connectReplicas();
   const auto replica = sendReadThatReplicaRefuses(it, "READ first");
   it.advance(milliseconds(30));
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   for (const char *text : {"READ second", "READ third", "READ fourth"}) {
     it.ask(it.connect("bounded"), StatementKind::Read, text);
     it.advance(milliseconds(30));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
   CHECK(statementsSentTo(it, replica) >= 1);
 }
@@ -222,7 +222,7 @@
     it.ask(ClientId{client}, StatementKind::Rollback, "ROLLBACK");
   for (int i = 0; i < 10; ++i) {
     it.advance(milliseconds(10));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
   CHECK(ownConnectionsTo(it, "p") == 2);
 }
@@ -249,7 +249,7 @@
   it.ask(it.connect("own"), StatementKind::Read, "READ own");
   for (int i = 0; i < 4; ++i) {
     it.advance(milliseconds(5));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
   CHECK(it.carrierOf("READ own"));
   CHECK(!it.carrierOf("READ later"));
@@ -271,7 +271,7 @@
   it.ask(writer, StatementKind::Read, "READ before a write");
   for (int i = 0; i < 8; ++i) {
     it.advance(milliseconds(5));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
   CHECK(it.carrierOf("READ before a write"));
   CHECK(!it.carrierOf("READ many"));
@@ -284,7 +284,7 @@
   Fixture it;
   congestPrimary(it);
   it.advance(milliseconds(1100));
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   CHECK(tryBoundedRead(it, "READ first"));
   CHECK(tryBoundedRead(it, "READ second"));
 }
@@ -319,7 +319,7 @@
   it.advance(milliseconds(5));
   CHECK(!it.carrierOf(text));
   it.advance(milliseconds(12));
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   const auto carrier = it.carrierOf(text);
   REQUIRE(carrier);
   CHECK(it.instanceOf(*carrier) != "r1");
--- a/src/proxy/tests/ProxyBorrowingTest.cpp
+++ b/src/proxy/tests/ProxyBorrowingTest.cpp
@@ -38,7 +38,7 @@
   it.Core.setEntries(entries);
   for (int i = 0; i < 40; ++i) {
     it.advance(milliseconds(100));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
 }
 
@@ -65,7 +65,7 @@
   // The primary answers the proxy's own queries, and no statement is left.
   for (int i = 0; i < 50; ++i) {
     it.advance(milliseconds(100));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
 }
 
@@ -110,7 +110,7 @@
     it.ask(client, StatementKind::Write, text.c_str());
     for (int n = 0; n < 5; ++n) {
       it.advance(milliseconds(10));
-      it.answerOwn(markOf(3, 100));
+      it.answerProxyCommands(markOf(3, 100));
     }
     if (const auto carrier = it.carrierOf(text))
       it.answer(*carrier,
@@ -146,7 +146,7 @@
     it.ask(client, StatementKind::Write, text.c_str());
     for (int n = 0; n < 5; ++n) {
       it.advance(milliseconds(10));
-      it.answerOwn(markOf(3, 100));
+      it.answerProxyCommands(markOf(3, 100));
     }
     if (const auto carrier = it.carrierOf(text))
       it.answer(*carrier,
@@ -184,7 +184,7 @@
     it.ask(client, StatementKind::Write, text.c_str());
     for (int n = 0; n < 5; ++n) {
       it.advance(milliseconds(10));
-      it.answerOwn(markOf(3, 100));
+      it.answerProxyCommands(markOf(3, 100));
     }
     if (const auto carrier = it.carrierOf(text))
       it.answer(*carrier,
@@ -270,7 +270,7 @@
   statement.Id = "w";
   statement.Kind = StatementKind::Write;
   statement.Text = "WRITE x 1";
-  it.Core.clientAsked(it.Now, client, statement);
+  it.Core.statementReceived(it.Now, client, statement);
   const auto connectionTo =
       [&](bool isBorrowed) -> std::optional<ConnectionId> {
     for (const auto &[id, target] : it.Io.Opened)
@@ -308,7 +308,7 @@
   it.Core.lenderRefused(it.Now, *carrier, LendingEnd::Unreachable);
   it.answer(*carrier, Fixture::refusal(ReplyCode::Busy));
   it.Now += milliseconds(700);
-  const auto sights = it.Core.primarySights(it.Now);
+  const auto sights = it.Core.primaryObservations(it.Now);
   REQUIRE(sights.size() == 1);
   // The control VMs replace a primary that most VMs report silent for this
   // long.
@@ -370,7 +370,7 @@
   it.ask(first, StatementKind::Write, "WRITE x 1");
   const auto asked = refuseAll(it, "WRITE x 1", milliseconds(5000));
   CHECK(std::set(asked.begin(), asked.end()).size() == asked.size());
-  CHECK(static_cast<int>(asked.size()) <= ProxyOptions().MostLendersTooFull);
+  CHECK(static_cast<int>(asked.size()) <= ProxyOptions().MaxFullLenders);
   // No time has passed.
   CHECK(it.lastAnswer(first).Code == ReplyCode::Busy);
   CHECK(it.lastAnswer(first).Detail.find("retry after") != std::string::npos);
@@ -386,7 +386,7 @@
   }
   CHECK(sent <= 1);
   // A reported wait expires.
-  it.advance(overload::ToldOptions().MostBelieved);
+  it.advance(overload::ReportedWaitOptions().MaxValidity);
   it.ask(it.connect("current"), StatementKind::Write, "WRITE z 1");
   CHECK(it.carrierOf("WRITE z 1"));
 }
--- a/src/proxy/tests/ProxyFixture.h
+++ b/src/proxy/tests/ProxyFixture.h
@@ -7,7 +7,7 @@
 #define STEPLEDGE_PROXY_TESTS_PROXYFIXTURE_H
 
 #include "proxy/tests/FakeIo.h"
-#include "quota/tests/NoQuota.h"
+#include "quota/tests/FakeQuota.h"
 
 #include <doctest/doctest.h>
 
@@ -113,7 +113,7 @@
     statement.Text = text;
     statement.Name = name;
     statement.Value = value;
-    Core.clientAsked(Now, client, statement);
+    Core.statementReceived(Now, client, statement);
     connectAll();
   }
 
@@ -140,7 +140,7 @@
 
   /// Answers the proxy's own commands (begin, probe, set-up, end) until only
   /// clients' statements are unanswered.
-  void answerOwn(const Mark &position) {
+  void answerProxyCommands(const Mark &position) {
     for (bool isChanged = true; isChanged;) {
       isChanged = false;
       for (auto &[id, commands] : Io.Sent) {
@@ -167,7 +167,7 @@
     ask(client, StatementKind::Begin, "BEGIN");
     REQUIRE(lastAnswer(client).State == SessionState::InTransaction);
     ask(client, StatementKind::Write, "WRITE x 1");
-    answerOwn(markOf(3, 100));
+    answerProxyCommands(markOf(3, 100));
     const auto carrier = carrierOf("WRITE x 1");
     REQUIRE(carrier);
     answer(*carrier, replyAt(markOf(3, 100), SessionState::InTransaction));
@@ -178,7 +178,7 @@
   void warmUp() {
     for (int i = 0; i < 10; ++i) {
       advance(milliseconds(100));
-      answerOwn(markOf(3, 100));
+      answerProxyCommands(markOf(3, 100));
     }
   }
 
@@ -188,7 +188,7 @@
     for (const char *text : {"READ u", "READ v", "READ w"}) {
       ask(connect("bounded"), StatementKind::Read, text);
       advance(milliseconds(15));
-      answerOwn(markOf(3, 100));
+      answerProxyCommands(markOf(3, 100));
       const auto carrier = carrierOf(text);
       REQUIRE(carrier);
       answer(*carrier, replyAt(markOf(3, 100)));
@@ -197,7 +197,7 @@
   }
 
   FakeIo Io;
-  quota::tests::NoQuota Quota;
+  quota::tests::FakeQuota Quota;
   TimePoint Now = TimePoint(std::chrono::seconds(10));
   Proxy Core;
   std::set<ConnectionId> Ready;
--- a/src/proxy/tests/ProxyPrimaryTest.cpp
+++ b/src/proxy/tests/ProxyPrimaryTest.cpp
@@ -74,7 +74,7 @@
   CHECK(it.carrierOf("WRITE x 1"));
   for (int i = 0; i < 62; ++i) {
     it.advance(milliseconds(100));
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
   it.ask(it.connect("current"), StatementKind::Write, "WRITE y 1");
   it.advance(milliseconds(100));
@@ -104,7 +104,7 @@
     it.Core.tick(it.Now);
     refuseAll();
   }
-  const auto observations = it.Core.primarySights(it.Now);
+  const auto observations = it.Core.primaryObservations(it.Now);
   REQUIRE(observations.size() == 1);
   CHECK(observations[0].Primary == InstanceId("p"));
   CHECK(observations[0].SilentFor >= milliseconds(600));
--- a/src/proxy/tests/ProxyReadTest.cpp
+++ b/src/proxy/tests/ProxyReadTest.cpp
@@ -23,7 +23,7 @@
   it.ask(client, StatementKind::Read, "READ x");
   // The read must not be sent before the instance has proved that it leads.
   CHECK(!it.carrierOf("READ x"));
-  it.answerOwn(markOf(3, 120));
+  it.answerProxyCommands(markOf(3, 120));
   const auto carrier = it.carrierOf("READ x");
   REQUIRE(carrier);
   CHECK(it.instanceOf(*carrier) == "p");
@@ -77,7 +77,7 @@
   it.answer(*first, Fixture::refusal(ReplyCode::Lagging));
   CHECK(it.Io.Retried == std::vector{ReplyCode::Lagging});
   it.advance(milliseconds(10));
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   const auto second = it.carrierOf("READ x");
   REQUIRE(second);
   CHECK(it.instanceOf(*second) != lagging);
@@ -93,7 +93,7 @@
   CHECK(it.instanceOf(*writer) == "p");
   it.answer(*writer, Fixture::replyAt(markOf(3, 777)));
   it.ask(client, StatementKind::Read, "READ x");
-  it.answerOwn(markOf(3, 777));
+  it.answerProxyCommands(markOf(3, 777));
   const auto reader = it.carrierOf("READ x");
   REQUIRE(reader);
   const auto &command = it.Io.Sent[*reader].front();
--- a/src/proxy/tests/ProxyScheduleTest.cpp
+++ b/src/proxy/tests/ProxyScheduleTest.cpp
@@ -7,7 +7,7 @@
 
 #include "proxy/tests/ScheduledClients.h"
 
-#include "quota/tests/NoQuota.h"
+#include "quota/tests/FakeQuota.h"
 
 #include <doctest/doctest.h>
 
@@ -113,7 +113,7 @@
 
   TimePoint Now = TimePoint(std::chrono::seconds(10));
   SimulatedInstances Group;
-  quota::tests::NoQuota Quota;
+  quota::tests::FakeQuota Quota;
   Proxy Core;
   tests::ScheduledClients Clients{Group};
   int Steps = 0;
--- a/src/proxy/tests/ProxyStartTest.cpp
+++ b/src/proxy/tests/ProxyStartTest.cpp
@@ -54,7 +54,7 @@
     it.advance(milliseconds(10));
   CHECK(beginsAt(it, "p") == 1);
   for (int i = 0; i < 6; ++i) {
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
     it.advance(milliseconds(10));
   }
   CHECK(carriedBy(it, texts, "p") <= 1);
@@ -82,7 +82,7 @@
     ClientStatement statement;
     statement.Id = statement.Text = "READ r" + std::to_string(i);
     statement.Kind = StatementKind::Read;
-    it.Core.clientAsked(it.Now, it.connect("bounded"), statement);
+    it.Core.statementReceived(it.Now, it.connect("bounded"), statement);
   }
   for (int i = 0; i < 20; ++i) {
     it.Now += milliseconds(10);
@@ -97,7 +97,7 @@
 TEST_CASE("Proxy_ReadsGoToThePrimaryWhenNoPositionArrives") {
   Fixture it;
   it.warmUp();
-  it.Core.forgetProofs();
+  it.Core.clearProofs();
   const auto texts = askForReads(it);
   // The first probe gets no answer.
   for (int i = 0; i < 20; ++i)
--- a/src/proxy/tests/ProxyTest.cpp
+++ b/src/proxy/tests/ProxyTest.cpp
@@ -27,7 +27,7 @@
 
 TEST_CASE("Proxy_ClientBeforeTheFirstConfigurationWaits") {
   FakeIo io;
-  quota::tests::NoQuota quota;
+  quota::tests::FakeQuota quota;
   Proxy core(Fixture::options(), io, io, io, quota);
   const TimePoint now(std::chrono::seconds(10));
   core.clientConnected(now, ClientId{1}, DatabaseId("current"));
@@ -42,7 +42,7 @@
 
 TEST_CASE("Proxy_ClientWithoutAConfigurationIsRefusedInTime") {
   FakeIo io;
-  quota::tests::NoQuota quota;
+  quota::tests::FakeQuota quota;
   Proxy core(Fixture::options(), io, io, io, quota);
   const TimePoint now(std::chrono::seconds(10));
   core.clientConnected(now, ClientId{1}, DatabaseId("current"));
@@ -53,7 +53,7 @@
 
 TEST_CASE("Proxy_StatementBeforeTheFirstConfigurationIsAnswered") {
   FakeIo io;
-  quota::tests::NoQuota quota;
+  quota::tests::FakeQuota quota;
   Proxy core(Fixture::options(), io, io, io, quota);
   const TimePoint now(std::chrono::seconds(10));
   const ClientId client{1};
@@ -61,7 +61,7 @@
   ClientStatement statement;
   statement.Kind = StatementKind::Set;
   statement.Name = "lang";
-  core.clientAsked(now, client, statement);
+  core.statementReceived(now, client, statement);
   control::Configuration configuration;
   configuration.Version = 4;
   Fixture::addRoute(configuration, "current", ReadPolicy::Current);
@@ -72,20 +72,20 @@
 
 TEST_CASE("Proxy_ClientWithoutAConfigurationMaySendFewStatements") {
   FakeIo io;
-  quota::tests::NoQuota quota;
+  quota::tests::FakeQuota quota;
   Proxy core(Fixture::options(), io, io, io, quota);
   const TimePoint now(std::chrono::seconds(10));
   const ClientId client{1};
   core.clientConnected(now, client, DatabaseId("current"));
   for (int i = 0; i < 1000; ++i)
-    core.clientAsked(now, client, {});
+    core.statementReceived(now, client, {});
   REQUIRE(io.Rejected.contains(client));
   CHECK(io.Rejected[client].Code == ReplyCode::Busy);
 }
 
 TEST_CASE("Proxy_ClientsThatWaitedForTheFirstConfigurationAreLogged") {
   FakeIo io;
-  quota::tests::NoQuota quota;
+  quota::tests::FakeQuota quota;
   Proxy core(Fixture::options(), io, io, io, quota);
   const TimePoint now(std::chrono::seconds(10));
   core.clientConnected(now + milliseconds(20), ClientId{1},
@@ -94,7 +94,7 @@
                        DatabaseId("current"));
   ClientStatement statement;
   statement.Kind = StatementKind::Set;
-  core.clientAsked(now + milliseconds(50), ClientId{2}, statement);
+  core.statementReceived(now + milliseconds(50), ClientId{2}, statement);
   control::Configuration configuration;
   configuration.Version = 4;
   Fixture::addRoute(configuration, "current", ReadPolicy::Current);
@@ -119,14 +119,14 @@
   };
   const auto answered = it.connect("current");
   it.ask(answered, StatementKind::Set, "SET lang sv", "lang", "sv");
-  it.Core.clientLeft(it.Now, answered);
+  it.Core.clientDisconnected(it.Now, answered);
   CHECK(linesOf(answered).empty());
 
   const auto waiting = it.connect("current");
   it.ask(waiting, StatementKind::Write, "WRITE x 1");
   REQUIRE(it.carrierOf("WRITE x 1"));
   it.advance(milliseconds(30));
-  it.Core.clientLeft(it.Now, waiting);
+  it.Core.clientDisconnected(it.Now, waiting);
   REQUIRE(linesOf(waiting).size() == 1);
   CHECK(linesOf(waiting).front().ends_with(
       " database=current stage=sent sendings=1 waited_ms=30"));
@@ -142,7 +142,7 @@
   const auto carrier = it.carrierOf("WRITE x 1");
   REQUIRE(carrier);
   CHECK(it.Io.Sent[*carrier].front().Kind == CommandKind::SetValue);
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   it.answer(*carrier, Fixture::replyAt(markOf(3, 101)));
   // A client without that value must not get it on the same connection.
   const auto second = it.connect("current");
@@ -161,7 +161,7 @@
   const auto first = it.connect("current");
   it.ask(first, StatementKind::Prepare, "PREPARE s WRITE q1", "s", "q1");
   it.ask(first, StatementKind::Execute, "EXECUTE s x 1", "s", "x 1");
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   std::string firstName;
   for (auto &[id, commands] : it.Io.Sent)
     for (const auto &command : commands)
@@ -200,7 +200,7 @@
   const auto client = it.connect("current");
   it.ask(client, StatementKind::Begin, "BEGIN");
   it.ask(client, StatementKind::Write, "WRITE x 1");
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   control::Configuration next;
   next.Version = 2;
   next.Services["db"] = {"db", 40, 0};
--- a/src/proxy/tests/ProxyTransactionTest.cpp
+++ b/src/proxy/tests/ProxyTransactionTest.cpp
@@ -85,7 +85,7 @@
   const auto client = it.connect("current");
   it.beginTransaction(client);
   it.advance(milliseconds(3500));
-  it.answerOwn(markOf(3, 100));
+  it.answerProxyCommands(markOf(3, 100));
   it.ask(client, StatementKind::Commit, "COMMIT");
   CHECK(it.lastAnswer(client).Code == ReplyCode::Aborted);
 }
--- a/src/proxy/tests/RestartedInstanceTest.cpp
+++ b/src/proxy/tests/RestartedInstanceTest.cpp
@@ -25,7 +25,7 @@
   record.Role = isPrimary ? membership::InstanceRole::Primary
                           : membership::InstanceRole::Replica;
   record.Slots = 3;
-  record.BornMs = startMs;
+  record.StartTimeMs = startMs;
   record.Sequence = sequence;
   return record;
 }
@@ -84,24 +84,24 @@
   ProxyFixture it;
   announceFirstIncarnations(it);
   it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
-  CHECK(it.Core.primarySights(it.Now).empty());
+  CHECK(it.Core.primaryObservations(it.Now).empty());
   // It also begins a read-write transaction, which otherwise proves that it is
   // the primary; its log has none of the acknowledged commits.
   it.advance(milliseconds(150));
-  it.answerOwn(markOf(1, 0));
-  CHECK(it.Core.primarySights(it.Now).empty());
+  it.answerProxyCommands(markOf(1, 0));
+  CHECK(it.Core.primaryObservations(it.Now).empty());
   it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstStartMs, 7});
-  REQUIRE(it.Core.primarySights(it.Now).size() == 1);
-  CHECK(it.Core.primarySights(it.Now)[0].Primary == InstanceId("r1"));
+  REQUIRE(it.Core.primaryObservations(it.Now).size() == 1);
+  CHECK(it.Core.primaryObservations(it.Now)[0].Primary == InstanceId("r1"));
 }
 
 TEST_CASE("RestartedInstance_PromotionOfTheEarlierIncarnationIsVoid") {
   ProxyFixture it;
   announceFirstIncarnations(it);
   it.Core.applyPromotion(it.Now, "db", {InstanceId("r1"), FirstStartMs, 7});
-  REQUIRE(it.Core.primarySights(it.Now)[0].Primary == InstanceId("r1"));
+  REQUIRE(it.Core.primaryObservations(it.Now)[0].Primary == InstanceId("r1"));
   it.Core.applyInstance(it.Now, recordOf("r1", false, SecondStartMs, 1));
-  const auto observations = it.Core.primarySights(it.Now);
+  const auto observations = it.Core.primaryObservations(it.Now);
   CHECK((observations.empty() || observations[0].Primary != InstanceId("r1")));
 }
 
@@ -117,8 +117,8 @@
   // Nor does an older record of the same incarnation.
   auto old = recordOf("p", false, FirstStartMs, 3);
   it.Core.applyInstance(it.Now, old);
-  REQUIRE(it.Core.primarySights(it.Now).size() == 1);
-  CHECK(it.Core.primarySights(it.Now)[0].Primary == InstanceId("p"));
+  REQUIRE(it.Core.primaryObservations(it.Now).size() == 1);
+  CHECK(it.Core.primaryObservations(it.Now)[0].Primary == InstanceId("p"));
 }
 
 TEST_CASE("RestartedInstance_NewIncarnationDoesNotCountAsSilent") {
@@ -127,8 +127,8 @@
   for (const char *id : {"r1", "r2"})
     it.Core.applyInstance(it.Now, recordOf(id, false, SecondStartMs, 1));
   it.Core.applyInstance(it.Now, recordOf("p", true, SecondStartMs, 1));
-  const auto observations = it.Core.primarySights(it.Now);
+  const auto observations = it.Core.primaryObservations(it.Now);
   REQUIRE(observations.size() == 1);
-  CHECK(observations[0].BornMs == SecondStartMs);
+  CHECK(observations[0].StartTimeMs == SecondStartMs);
   CHECK(observations[0].SilentFor == Duration{});
 }
--- a/src/proxy/tests/RouteWorkTest.cpp
+++ b/src/proxy/tests/RouteStatementTimesTest.cpp
@@ -4,7 +4,7 @@
 /// \file Slowness of an answer relative to the usual time of the route's
 /// statements.
 
-#include "proxy/internal/RouteWork.h"
+#include "proxy/internal/RouteStatementTimes.h"
 
 #include <doctest/doctest.h>
 
@@ -25,13 +25,13 @@
 
 } // namespace
 
-TEST_CASE("RouteWork_UnknownRouteIsNeitherSlowNorFast") {
-  const RouteWork work;
+TEST_CASE("RouteStatementTimes_UnknownRouteIsNeitherSlowNorFast") {
+  const RouteStatementTimes work;
   CHECK(work.slowness(routeOf("long"), milliseconds(80)) == 1.0);
 }
 
-TEST_CASE("RouteWork_LongerStatementsDoNotLookLikeAQueue") {
-  RouteWork work;
+TEST_CASE("RouteStatementTimes_LongerStatementsDoNotLookLikeAQueue") {
+  RouteStatementTimes work;
   for (int i = 0; i < 100; ++i) {
     work.note(routeOf("short"), milliseconds(5), NoCongestion);
     work.note(routeOf("long"), milliseconds(20), NoCongestion);
@@ -42,8 +42,8 @@
         doctest::Approx(4.0));
 }
 
-TEST_CASE("RouteWork_AnswersOfAnInstanceWithAQueueDontBecomeUsual") {
-  RouteWork work;
+TEST_CASE("RouteStatementTimes_AnswersOfAnInstanceWithAQueueDontBecomeUsual") {
+  RouteStatementTimes work;
   for (int i = 0; i < 100; ++i)
     work.note(routeOf("short"), milliseconds(10), NoCongestion);
   // Half a minute of overload during which each statement takes 1.5 times as
