--- a/src/proxy/tests/ScheduledClients.cpp
+++ b/src/proxy/tests/ScheduledClients.cpp
@@ -130,7 +130,7 @@
       (statement.Kind == StatementKind::Write ||
        statement.Kind == StatementKind::Execute))
     client.Writes.push_back(statement.Id);
-  client.Server->clientAsked(Now, client.Id, statement);
+  client.Server->statementReceived(Now, client.Id, statement);
 }
 
 std::string ScheduledClients::textOf(const ClientStatement &statement) {
--- a/src/proxy/tests/SilentConnectionTest.cpp
+++ b/src/proxy/tests/SilentConnectionTest.cpp
@@ -86,7 +86,7 @@
   it.warmUp();
   const auto client = it.connect("current");
   const auto silent = writeOnSilentConnection(it, client, "WRITE x 1");
-  it.Core.clientLeft(it.Now, client);
+  it.Core.clientDisconnected(it.Now, client);
   // 0.75 s: without regard to the later answers it would be kept for 2.5 s.
   runOtherClients(it, silent, 25);
   CHECK(!it.Io.Opened.contains(silent));
@@ -114,7 +114,7 @@
     for (const auto &[id, commands] : it.Io.Sent)
       if (!commands.empty())
         asked.insert(id);
-    it.answerOwn(markOf(3, 100));
+    it.answerProxyCommands(markOf(3, 100));
   }
   CHECK(asked.contains(*a));
   CHECK(asked.contains(*b));
--- a/src/proxy/tests/SimulatedInstances.h
+++ b/src/proxy/tests/SimulatedInstances.h
@@ -40,7 +40,7 @@
     return ConnectionId{static_cast<std::uint64_t>(proxy) << ProxyShift};
   }
   /// Refuses connections to an instance beyond this number.
-  void setMostConnections(std::size_t n) { MaxConnections = n; }
+  void setMaxConnections(std::size_t n) { MaxConnections = n; }
   /// Advances the time and delivers the events that are due.
   void advance(TimePoint now);
   void announceAll();
--- a/src/proxy/tests/UnevenGroup.cpp
+++ b/src/proxy/tests/UnevenGroup.cpp
@@ -62,7 +62,7 @@
     tally.Prompt += isSuccess && took <= TightestObjective;
     tally.Failed += !isSuccess;
     Group.at(Group.Now,
-             [this, client] { Core->clientLeft(Group.Now, client); });
+             [this, client] { Core->clientDisconnected(Group.Now, client); });
   }
   void closeClient(ClientId client) override { (void)client; }
   void openConnection(ConnectionId id,
@@ -125,7 +125,7 @@
     TimePoint RepliedAt{};
   };
   UnevenGroup &Group;
-  quota::tests::NoQuota Quota;
+  quota::tests::FakeQuota Quota;
   std::unique_ptr<Proxy> Core;
   std::map<ConnectionId, Connection> Connections;
   std::map<ClientId, PendingRead> PendingReads;
@@ -259,7 +259,7 @@
   statement.Id = std::to_string(client.Number);
   statement.Kind = StatementKind::Read;
   statement.Text = "READ x";
-  vm.Core->clientAsked(Now, client, statement);
+  vm.Core->statementReceived(Now, client, statement);
 }
 
 const ReadTally &UnevenGroup::runFor(Duration time, double rate) {
--- a/src/proxy/tests/UnevenGroup.h
+++ b/src/proxy/tests/UnevenGroup.h
@@ -9,7 +9,7 @@
 #define STEPLEDGE_PROXY_TESTS_UNEVENGROUP_H
 
 #include "proxy/Proxy.h"
-#include "quota/tests/NoQuota.h"
+#include "quota/tests/FakeQuota.h"
 
 #include <deque>
 #include <functional>
--- a/src/proxy/tests/UnevenInstancesTest.cpp
+++ b/src/proxy/tests/UnevenInstancesTest.cpp
@@ -114,7 +114,7 @@
   tracker.notePosition(now, behind, {{3}, {50}});
   CHECK(tracker.readCandidates(now, needed, {}, notDrawn) ==
         std::vector{slow, behind});
-  tracker.noteBehind(now, behind, needed);
+  tracker.noteLagging(now, behind, needed);
   CHECK(tracker.readCandidates(now, needed, {}, notDrawn) == std::vector{slow});
 }
 
@@ -271,10 +271,10 @@
   group.runFor(WarmUpTime, ReadRate);
   group.setLinkDelay(0, "r1", milliseconds(60));
   group.runFor(DetectionTime, ReadRate);
-  CHECK(group.vm(0).heldBackInstances() == 1);
+  CHECK(group.vm(0).outlierInstances() == 1);
   CHECK(group.outlierLogLines(0) == 1);
   for (const std::size_t other : {1, 2, 3}) {
-    CHECK(group.vm(other).heldBackInstances() == 0);
+    CHECK(group.vm(other).outlierInstances() == 0);
     CHECK(group.outlierLogLines(other) == 0);
   }
   const auto &tally = group.runFor(milliseconds(2000), ReadRate);
@@ -292,7 +292,7 @@
     const auto &tally = group.runFor(milliseconds(200), ReadRate / 2);
     CHECK(secondTryShare(group, tally) <= MaxSecondTryShare);
     for (const std::size_t vm : {0, 1, 2, 3})
-      CHECK(group.vm(vm).heldBackInstances() == 0);
+      CHECK(group.vm(vm).outlierInstances() == 0);
   }
 }
 
--- a/src/proxy/types/ProxyOptions.h
+++ b/src/proxy/types/ProxyOptions.h
@@ -23,11 +23,11 @@
   /// The maximum number of times a statement without an answer is sent: two
   /// waits of ReadRetryAfter take up much of the latency objectives, which are
   /// some 150 to 600 ms.
-  int MostSlowSendings = 2;
+  int MaxUnansweredSends = 2;
   /// The share of reads that may be sent again before ReadRetryAfter, so that
   /// retries can't overload the siblings. Retries after ReadRetryAfter use up
   /// the budget too, but are never refused.
-  double SecondTryShare = 0.05;
+  double ReadRetryShare = 0.05;
   /// The burst of such retries: a VM with few reads may retry some, and the
   /// bursts of many VMs together don't overload an instance.
   double ReadRetryBurst = 2;
@@ -51,12 +51,12 @@
   Duration LocalityWait = milliseconds(15);
   /// A statement waits this long before a connection beyond the share that is
   /// kept open is opened for it: about the usual answer time.
-  Duration BorrowDelay = milliseconds(20);
+  Duration ExtraConnectionDelay = milliseconds(20);
   /// A connection beyond the share that is kept open is closed after this idle
   /// time.
   Duration SpareConnectionLifetime = milliseconds(3000);
   /// The same for a connection of a non-home VM.
-  Duration ForeignLifetime = milliseconds(1000);
+  Duration NonHomeLifetime = milliseconds(1000);
   /// A connection on which an abandoned command has no answer after this time
   /// is closed.
   Duration AbandonedLifetime = milliseconds(2500);
@@ -73,10 +73,10 @@
   int SilentTransactionFactor = 8;
   /// An instance that takes longer to accept a connection counts as
   /// unreachable.
-  Duration ConnectLimit = milliseconds(350);
+  Duration ConnectTimeout = milliseconds(350);
   /// A lender that failed for an instance isn't asked for it again for this
   /// long.
-  Duration BadLenderPause = milliseconds(2500);
+  Duration FailedLenderPause = milliseconds(2500);
   /// The same for a lender whose connections were all in use: a few answer
   /// times.
   Duration FullLenderPause = milliseconds(150);
@@ -84,14 +84,14 @@
   /// would wait too long there: where two of several have no capacity the
   /// others seldom have any, and each further attempt is a message to and from
   /// a VM at capacity.
-  int MostLendersTooFull = 3;
+  int MaxFullLenders = 3;
   /// How often the direct path to an instance that is reached through lenders
   /// is tried.
   Duration DirectProbeInterval = milliseconds(500);
   /// The number of connections to an instance grows slowly for this long after
   /// the start: instances drop the connections of a VM that lost power after 3
   /// s.
-  Duration CautiousStart = milliseconds(3300);
+  Duration StartPhase = milliseconds(3300);
   /// The time per added connection during that: long enough for a VM that has
   /// none to try a few times.
   Duration GrowthInterval = milliseconds(400);
@@ -125,7 +125,7 @@
   int OrganisationHomeConnections = 4;
   /// The maximum number of homes of one instance in that case; as in
   /// membership::HomeOptions.
-  int MostOrganisationHomes = 6;
+  int MaxOrganisationHomes = 6;
   /// Connections to an instance reserved for the control VMs.
   int ReservedConnections = 4;
 };
--- a/src/quota/IQuotaIo.h
+++ b/src/quota/IQuotaIo.h
@@ -55,7 +55,7 @@
   /// Returns false if the home isn't connected; a connection is then being
   /// opened.
   virtual bool askHome(const std::string &ip, const QuotaAsk &ask) = 0;
-  virtual void answerAsker(const std::string &ip, const QuotaGrant &grant) = 0;
+  virtual void sendGrant(const std::string &ip, const QuotaGrant &grant) = 0;
   /// Waiting operations of \p organisation may be granted or refused now.
   virtual void quotaChanged(const OrganisationId &organisation) = 0;
 };
--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -364,7 +364,7 @@
       noteDemand(now, ask, account, std::max(1, grant.Operations));
     grant.RetryAfter = timeToNext(now, account, ask.Priority);
   }
-  Io.answerAsker(ip, grant);
+  Io.sendGrant(ip, grant);
 }
 
 void QuotaLedger::noteExhausted(TimePoint now, const std::string &ip,
@@ -463,7 +463,7 @@
   }
 }
 
-std::set<std::string> QuotaLedger::homesToKeep() const {
+std::set<std::string> QuotaLedger::homesToConnect() const {
   if (Accounts.empty())
     return {};
   const auto &homes = Homes.homesIn(Options.OwnHall);
--- a/src/quota/QuotaLedger.h
+++ b/src/quota/QuotaLedger.h
@@ -57,7 +57,7 @@
   void homeLost(TimePoint now, const std::string &ip);
   void tick(TimePoint now);
   /// The VMs to stay connected to while quotas are configured.
-  std::set<std::string> homesToKeep() const;
+  std::set<std::string> homesToConnect() const;
 
 private:
   struct Lease {
--- a/src/quota/tests/NoQuota.h
+++ b/src/quota/tests/FakeQuota.h
@@ -4,14 +4,14 @@
 /// \file A quota that grants every operation, unless a test sets another
 /// verdict.
 
-#ifndef STEPLEDGE_QUOTA_TESTS_NOQUOTA_H
-#define STEPLEDGE_QUOTA_TESTS_NOQUOTA_H
+#ifndef STEPLEDGE_QUOTA_TESTS_FAKEQUOTA_H
+#define STEPLEDGE_QUOTA_TESTS_FAKEQUOTA_H
 
 #include "quota/IOperationQuota.h"
 
 namespace stepledge::quota::tests {
 
-class NoQuota : public IOperationQuota {
+class FakeQuota : public IOperationQuota {
 public:
   void setOrganisations(const std::map<OrganisationId, control::Organisation>
                             &organisations) override {
@@ -43,4 +43,4 @@
 
 } // namespace stepledge::quota::tests
 
-#endif // STEPLEDGE_QUOTA_TESTS_NOQUOTA_H
+#endif // STEPLEDGE_QUOTA_TESTS_FAKEQUOTA_H
--- a/src/quota/tests/QuotaLedgerTest.cpp
+++ b/src/quota/tests/QuotaLedgerTest.cpp
@@ -21,7 +21,7 @@
     Asks.emplace_back(ip, ask);
     return true;
   }
-  void answerAsker(const std::string &ip, const QuotaGrant &grant) override {
+  void sendGrant(const std::string &ip, const QuotaGrant &grant) override {
     (void)ip;
     Grants.push_back(grant);
   }
--- a/src/quota/tests/SimulatedQuotas.cpp
+++ b/src/quota/tests/SimulatedQuotas.cpp
@@ -42,7 +42,7 @@
     Simulation.send(Number, ip, ask);
     return true;
   }
-  void answerAsker(const std::string &ip, const QuotaGrant &grant) override {
+  void sendGrant(const std::string &ip, const QuotaGrant &grant) override {
     Simulation.send(Number, ip, grant);
   }
   void quotaChanged(const OrganisationId &organisation) override {
--- a/src/scheduling/ServingLine.cpp
+++ b/src/scheduling/QueueScheduler.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "scheduling/ServingLine.h"
+#include "scheduling/QueueScheduler.h"
 
 #include <algorithm>
 #include <numeric>
@@ -52,7 +52,7 @@
 } // namespace
 
 std::vector<std::size_t>
-ServingLine::order(TimePoint now, const std::vector<WaitRank> &ranks) const {
+QueueScheduler::order(TimePoint now, const std::vector<WaitRank> &ranks) const {
   const bool isOverloaded =
       std::any_of(ranks.begin(), ranks.end(), [&](const auto &it) {
         return now - it.ArrivedAt > Options.OverloadAge;
@@ -66,14 +66,14 @@
   return indices;
 }
 
-void ServingLine::setRates(const std::map<OrganisationId, double> &rates) {
+void QueueScheduler::setRates(const std::map<OrganisationId, double> &rates) {
   IsFair = !rates.empty();
   Weights = ShareWeights(rates);
   if (!IsFair)
     SharesByQueue.clear();
 }
 
-FairShares &ServingLine::sharesOf(TimePoint now, const LineId &queue) {
+FairShares &QueueScheduler::sharesOf(TimePoint now, const QueueId &queue) {
   const auto found = SharesByQueue.find(queue);
   if (found != SharesByQueue.end())
     return found->second;
@@ -83,17 +83,17 @@
   return SharesByQueue.emplace(queue, FairShares(Options.Shares)).first->second;
 }
 
-void ServingLine::noteUse(TimePoint now, const LineId &queue,
-                          const OrganisationId &organisation,
-                          Duration slotTime) {
+void QueueScheduler::noteUse(TimePoint now, const QueueId &queue,
+                             const OrganisationId &organisation,
+                             Duration slotTime) {
   if (IsFair)
     sharesOf(now, queue)
         .noteUse(now, organisation, slotTime, Weights.of(organisation));
 }
 
 std::vector<std::size_t>
-ServingLine::fairOrder(TimePoint now, const LineId &queue,
-                       const std::vector<WaitRank> &ranks) {
+QueueScheduler::fairOrder(TimePoint now, const QueueId &queue,
+                          const std::vector<WaitRank> &ranks) {
   std::map<OrganisationId, std::vector<std::size_t>> groups;
   for (std::size_t i = 0; i < ranks.size(); ++i)
     groups[ranks[i].Organisation].push_back(i);
@@ -141,7 +141,7 @@
   return indices;
 }
 
-std::size_t ServingLine::heldBack(TimePoint now) const {
+std::size_t QueueScheduler::heldBack(TimePoint now) const {
   std::size_t n = 0;
   for (const auto &[id, shares] : SharesByQueue)
     n += shares.deferredCount(now);
--- a/src/scheduling/ServingLine.h
+++ b/src/scheduling/QueueScheduler.h
@@ -4,12 +4,12 @@
 /// \file The order in which waiting statements get a connection, at the VM that
 /// their clients asked and at a lender.
 
-#ifndef STEPLEDGE_SCHEDULING_SERVINGLINE_H
-#define STEPLEDGE_SCHEDULING_SERVINGLINE_H
+#ifndef STEPLEDGE_SCHEDULING_QUEUESCHEDULER_H
+#define STEPLEDGE_SCHEDULING_QUEUESCHEDULER_H
 
 #include "scheduling/FairShares.h"
 #include "scheduling/ShareWeights.h"
-#include "scheduling/types/LineId.h"
+#include "scheduling/types/QueueId.h"
 #include "scheduling/types/WaitRank.h"
 
 #include <cstddef>
@@ -26,9 +26,10 @@
   ShareOptions Shares;
 };
 
-class ServingLine {
+class QueueScheduler {
 public:
-  explicit ServingLine(QueueSchedulerOptions options = {}) : Options(options) {}
+  explicit QueueScheduler(QueueSchedulerOptions options = {})
+      : Options(options) {}
 
   /// Sets the rates by which the organisations share each queue, in operations
   /// per second and 0 for none; without any organisation all statements are
@@ -36,13 +37,13 @@
   void setRates(const std::map<OrganisationId, double> &rates);
   /// Records that a statement or the opening of a connection for
   /// \p organisation has held a slot for \p slotTime.
-  void noteUse(TimePoint now, const LineId &queue,
+  void noteUse(TimePoint now, const QueueId &queue,
                const OrganisationId &organisation, Duration slotTime);
 
   /// The keys of \p waiters, which are in the order of their arrival, with the
   /// one to serve first in front.
   template <typename Key>
-  std::vector<Key> inOrder(TimePoint now, const LineId &queue,
+  std::vector<Key> inOrder(TimePoint now, const QueueId &queue,
                            std::vector<std::pair<WaitRank, Key>> waiters) {
     std::vector<WaitRank> ranks;
     ranks.reserve(waiters.size());
@@ -65,21 +66,21 @@
   /// The same between organisations: statements that can still be answered in
   /// time go first, then the organisation that has used least for its weight;
   /// each organisation's own statements are in the order above.
-  std::vector<std::size_t> fairOrder(TimePoint now, const LineId &queue,
+  std::vector<std::size_t> fairOrder(TimePoint now, const QueueId &queue,
                                      const std::vector<WaitRank> &ranks);
   /// The number of organisations that wait behind another that has used less,
   /// in any queue.
   std::size_t heldBack(TimePoint now) const;
 
 private:
-  FairShares &sharesOf(TimePoint now, const LineId &queue);
+  FairShares &sharesOf(TimePoint now, const QueueId &queue);
 
   QueueSchedulerOptions Options;
   bool IsFair = false;
   ShareWeights Weights;
-  std::map<LineId, FairShares> SharesByQueue;
+  std::map<QueueId, FairShares> SharesByQueue;
 };
 
 } // namespace stepledge::scheduling
 
-#endif // STEPLEDGE_SCHEDULING_SERVINGLINE_H
+#endif // STEPLEDGE_SCHEDULING_QUEUESCHEDULER_H
--- a/src/scheduling/tests/AlternativeOrders.h
+++ b/src/scheduling/tests/AlternativeOrders.h
@@ -7,7 +7,7 @@
 #ifndef STEPLEDGE_SCHEDULING_TESTS_ALTERNATIVEORDERS_H
 #define STEPLEDGE_SCHEDULING_TESTS_ALTERNATIVEORDERS_H
 
-#include "scheduling/ServingLine.h"
+#include "scheduling/QueueScheduler.h"
 #include "scheduling/tests/FakeInstance.h"
 
 #include <deque>
@@ -26,7 +26,7 @@
                Duration took) override;
 
 private:
-  ServingLine Scheduler;
+  QueueScheduler Scheduler;
 };
 
 /// Start-time fair queueing among the most urgent waiting statements.
@@ -53,7 +53,7 @@
 
 private:
   ShareWeights Weights;
-  ServingLine Inner;
+  QueueScheduler Inner;
   std::deque<OrganisationId> Turns;
   std::map<OrganisationId, double> Credit;
 };
--- a/src/scheduling/tests/FairServingTest.cpp
+++ b/src/scheduling/tests/FairServingTest.cpp
@@ -4,7 +4,7 @@
 /// \file Properties of the order between organisations for random waiting
 /// statements, and the unchanged order without organisations.
 
-#include "scheduling/ServingLine.h"
+#include "scheduling/QueueScheduler.h"
 
 #include <doctest/doctest.h>
 
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr TimePoint Now = TimePoint(std::chrono::seconds(10));
-const LineId Queue{"db", InstanceId("i")};
+const QueueId Queue{"db", InstanceId("i")};
 
 std::vector<WaitRank> randomRanks(std::mt19937_64 &random) {
   std::vector<WaitRank> ranks(1 + random() % 40);
@@ -66,7 +66,7 @@
   return waiters;
 }
 
-void useAtRandom(ServingLine &scheduler, std::mt19937_64 &random) {
+void useAtRandom(QueueScheduler &scheduler, std::mt19937_64 &random) {
   for (auto n = random() % 30; n > 0; --n)
     scheduler.noteUse(Now, Queue, OrganisationId(std::to_string(random() % 6)),
                       Duration(1000 + random() % 9000));
@@ -84,7 +84,7 @@
 TEST_CASE("FairServing_OrderIsUnchangedWithoutOrganisations") {
   std::mt19937_64 random(1);
   for (int n = 0; n < 2000; ++n) {
-    ServingLine scheduler;
+    QueueScheduler scheduler;
     scheduler.setRates({});
     useAtRandom(scheduler, random);
     const auto ranks = randomRanks(random);
@@ -100,7 +100,7 @@
     // One use more or less decides whether the oldest statement goes first.
     QueueSchedulerOptions options;
     options.Shares.OldestFirstInterval = 1 + random() % 4;
-    ServingLine scheduler(options);
+    QueueScheduler scheduler(options);
     scheduler.setRates(sixRates());
     useAtRandom(scheduler, random);
     const auto ranks = randomRanks(random);
@@ -131,7 +131,7 @@
 
 TEST_CASE("FairServing_OldestFirstTurnServesTheLongestWait") {
   QueueSchedulerOptions options;
-  ServingLine scheduler(options);
+  QueueScheduler scheduler(options);
   scheduler.setRates(sixRates());
   const OrganisationId busy("1");
   std::vector<WaitRank> ranks(5, {0, milliseconds(150), Now, busy});
@@ -182,7 +182,7 @@
 }
 
 TEST_CASE("FairServing_EqualUsageIsServedInOrderOfArrival") {
-  ServingLine scheduler;
+  QueueScheduler scheduler;
   scheduler.setRates(sixRates());
   const auto order = scheduler.fairOrder(
       Now, Queue,
@@ -193,7 +193,7 @@
 }
 
 TEST_CASE("FairServing_CountsDeferredOrganisations") {
-  ServingLine scheduler;
+  QueueScheduler scheduler;
   scheduler.setRates(sixRates());
   scheduler.noteUse(Now, Queue, OrganisationId("1"), milliseconds(40));
   scheduler.fairOrder(Now, Queue,
--- a/src/scheduling/tests/ServingLineTest.cpp
+++ b/src/scheduling/tests/QueueSchedulerTest.cpp
@@ -3,7 +3,7 @@
 
 /// \file Tests of the order of waiting statements.
 
-#include "scheduling/ServingLine.h"
+#include "scheduling/QueueScheduler.h"
 
 #include <doctest/doctest.h>
 
@@ -20,8 +20,8 @@
 
 } // namespace
 
-TEST_CASE("ServingLine_FirstComeFirstServedWithinAPriority") {
-  const ServingLine scheduler;
+TEST_CASE("QueueScheduler_FirstComeFirstServedWithinAPriority") {
+  const QueueScheduler scheduler;
   const auto order =
       scheduler.order(Now, {rankOf(1, milliseconds(200), milliseconds(30)),
                             rankOf(1, milliseconds(200), milliseconds(20)),
@@ -29,8 +29,8 @@
   CHECK(order == std::vector<std::size_t>{2, 0, 1});
 }
 
-TEST_CASE("ServingLine_LateStatementsGoLastInAnOverload") {
-  const ServingLine scheduler;
+TEST_CASE("QueueScheduler_LateStatementsGoLastInAnOverload") {
+  const QueueScheduler scheduler;
   const auto order =
       scheduler.order(Now, {rankOf(0, milliseconds(200), milliseconds(250)),
                             rankOf(1, milliseconds(200), milliseconds(120)),
@@ -38,8 +38,8 @@
   CHECK(order == std::vector<std::size_t>{2, 1, 0});
 }
 
-TEST_CASE("ServingLine_OwnQueriesAreNeverLate") {
-  const ServingLine scheduler;
+TEST_CASE("QueueScheduler_OwnQueriesAreNeverLate") {
+  const QueueScheduler scheduler;
   const auto order =
       scheduler.order(Now, {rankOf(0, milliseconds(200), milliseconds(150)),
                             rankOf(0, Duration{}, milliseconds(10))});
--- a/src/scheduling/types/LineId.h
+++ b/src/scheduling/types/QueueId.h
@@ -3,8 +3,8 @@
 
 /// \file Identifies one queue of waiting statements.
 
-#ifndef STEPLEDGE_SCHEDULING_TYPES_LINEID_H
-#define STEPLEDGE_SCHEDULING_TYPES_LINEID_H
+#ifndef STEPLEDGE_SCHEDULING_TYPES_QUEUEID_H
+#define STEPLEDGE_SCHEDULING_TYPES_QUEUEID_H
 
 #include "base/types/Ids.h"
 
@@ -13,16 +13,16 @@
 
 namespace stepledge::scheduling {
 
-struct LineId {
+struct QueueId {
   std::string Service;
   /// The instance, at a VM that lends connections to it; empty for the
   /// statements of a VM's own clients, which wait for any instance of the
   /// service.
   InstanceId Instance;
 
-  auto operator<=>(const LineId &) const = default;
+  auto operator<=>(const QueueId &) const = default;
 };
 
 } // namespace stepledge::scheduling
 
-#endif // STEPLEDGE_SCHEDULING_TYPES_LINEID_H
+#endif // STEPLEDGE_SCHEDULING_TYPES_QUEUEID_H
