--- a/src/balancing/OutlierDetector.cpp
+++ b/src/balancing/OutlierDetector.cpp
@@ -109,7 +109,7 @@
          isSlowOutlier(now, id, it->second, true);
 }
 
-int OutlierDetector::heldBack() const {
+int OutlierDetector::outlierCount() const {
   return static_cast<int>(
       std::count_if(Observations.begin(), Observations.end(),
                     [](const auto &it) { return it.second.IsReported; }));
--- a/src/balancing/OutlierDetector.h
+++ b/src/balancing/OutlierDetector.h
@@ -38,7 +38,7 @@
   bool isSlow(TimePoint now, const InstanceId &id) const;
   /// The number of instances that have lost most of their reads and not got all
   /// of them back.
-  int heldBack() const;
+  int outlierCount() const;
   /// Updates the shares as time passes, and returns the instances that have
   /// become outliers or recovered since the last call.
   std::vector<OutlierChange> review(TimePoint now);
--- a/src/balancing/tests/OutlierDetectorTest.cpp
+++ b/src/balancing/tests/OutlierDetectorTest.cpp
@@ -67,7 +67,7 @@
   REQUIRE(it.Changes.size() == 1);
   CHECK(it.Changes[0].Instance == it.A);
   CHECK(it.Changes[0].IsOutlier);
-  CHECK(it.Detector.heldBack() == 1);
+  CHECK(it.Detector.outlierCount() == 1);
 }
 
 TEST_CASE("OutlierDetector_ReadsReturnGradually") {
@@ -82,7 +82,7 @@
   CHECK(it.hasFullWeights());
   REQUIRE(it.Changes.size() == 2);
   CHECK(!it.Changes[1].IsOutlier);
-  CHECK(it.Detector.heldBack() == 0);
+  CHECK(it.Detector.outlierCount() == 0);
 }
 
 TEST_CASE("OutlierDetector_InstanceWithoutReadsIsTriedAgain") {
--- a/src/control/ControlModule.cpp
+++ b/src/control/ControlModule.cpp
@@ -90,9 +90,9 @@
   options.TargetVoters = 2 * Options.TolerableLosses + 1;
   Consensus = std::make_unique<consensus::ConsensusNode>(
       self, options, std::move(state), randomNumber(), Clock());
-  Log.decision(absl::StrCat("event=log_opened member=", self.number(),
-                            " new=", isNew, " first=", isFirst,
-                            " commit=", Consensus->commitIndex()));
+  Log.log(absl::StrCat("event=log_opened member=", self.number(),
+                       " new=", isNew, " first=", isFirst,
+                       " commit=", Consensus->commitIndex()));
   startDisk();
   // NOTE: the initial records of a new log go to disk before any others.
   if (isNew)
@@ -111,7 +111,7 @@
       },
       [this](const absl::Status &status) {
         asio::post(Context, [this, text = std::string(status.message())] {
-          Log.decision(absl::StrCat("event=disk_failed reason=\"", text, "\""));
+          Log.log(absl::StrCat("event=disk_failed reason=\"", text, "\""));
         });
       });
 }
--- a/src/control/ControlNode.cpp
+++ b/src/control/ControlNode.cpp
@@ -78,9 +78,8 @@
     updatePeers();
   }
   if (std::exchange(WasLeader, Node.isLeader()) != Node.isLeader()) {
-    Log.decision(absl::StrCat("event=leadership leads=", Node.isLeader(),
-                              " term=", Node.term(),
-                              " commit=", Node.commitIndex()));
+    Log.log(absl::StrCat("event=leadership leads=", Node.isLeader(), " term=",
+                         Node.term(), " commit=", Node.commitIndex()));
     Detector.clear();
     PingMissedSince.clear();
     UnansweredPingSentAt.clear();
@@ -122,7 +121,7 @@
         UnreachableControls.insert(it.Ip);
     }
     if (effects.Restored && !State.restore(effects.Restored->state()))
-      Log.decision("event=snapshot_unreadable");
+      Log.log("event=snapshot_unreadable");
     if (effects.Restored)
       IsNoticeDue = true;
     for (const auto &it : effects.Committed)
@@ -167,7 +166,7 @@
   IsFresh = isFresh;
   if (!isFresh || std::exchange(HasBeenFresh, true))
     return;
-  Log.decision(absl::StrCat(
+  Log.log(absl::StrCat(
       "event=first_fresh after_ms=", toMilliseconds(now - Node.startedAt()),
       " leads=", Node.isLeader(), " term=", Node.term(),
       " version=", State.configurationVersion()));
@@ -179,8 +178,7 @@
     return;
   auto decoded = Options.Decode(State.document());
   if (!decoded.ok()) {
-    Log.decision(
-        absl::StrCat("event=configuration_unreadable version=", version));
+    Log.log(absl::StrCat("event=configuration_unreadable version=", version));
     return;
   }
   decoded->Version = version;
@@ -193,10 +191,10 @@
   if (!part)
     return;
   if (part->offset() == 0)
-    Log.decision(absl::StrCat("event=configuration_sent ip=", ip,
-                              " held=", request.held_version(),
-                              " version=", Configurations.newest().Version,
-                              " bytes=", part->total()));
+    Log.log(absl::StrCat("event=configuration_sent ip=", ip,
+                         " held=", request.held_version(),
+                         " version=", Configurations.newest().Version,
+                         " bytes=", part->total()));
   peer::wire::Message message;
   *message.mutable_configuration_part() = *std::move(part);
   Peers.send(ip, message);
@@ -211,12 +209,12 @@
 void ControlNode::apply(TimePoint now, const consensus::wire::Entry &entry) {
   wire::Command command;
   if (!entry.command().empty() && !command.ParseFromString(entry.command()))
-    Log.decision(absl::StrCat("event=entry_unreadable index=", entry.index()));
+    Log.log(absl::StrCat("event=entry_unreadable index=", entry.index()));
   const auto oldVersion = State.configurationVersion();
   State.apply(entry.index(), command);
   if (State.configurationVersion() != oldVersion) {
     IsNoticeDue = true;
-    Log.decision(absl::StrCat(
+    Log.log(absl::StrCat(
         "event=configuration version=", State.configurationVersion(),
         " index=", entry.index()));
   }
@@ -226,8 +224,8 @@
     const InstanceId id(command.mark_instance().instance());
     const auto state =
         static_cast<InstanceState>(command.mark_instance().state());
-    Log.decision(absl::StrCat("event=instance_marked instance=", id.str(),
-                              " state=", static_cast<int>(state)));
+    Log.log(absl::StrCat("event=instance_marked instance=", id.str(),
+                         " state=", static_cast<int>(state)));
     if (Directory.raiseState(id, command.mark_instance().born_ms(), state))
       UnsentInstances.insert(id);
   }
@@ -332,8 +330,8 @@
 }
 
 void ControlNode::peerLost(const std::string &ip, peer::LinkEnd end) {
-  Log.decision(absl::StrCat("event=peer_lost ip=", ip, " reason=",
-                            std::string(nameIn(peer::LinkEndNames, end))));
+  Log.log(absl::StrCat("event=peer_lost ip=", ip, " reason=",
+                       std::string(nameIn(peer::LinkEndNames, end))));
   Entries.leave(ip);
   Configurations.forget(ip);
   LastObservations.erase(ip);
@@ -372,22 +370,22 @@
   runEffects(Now);
 }
 
-void ControlNode::replaceObservations(const std::string &ip,
-                                      const peer::wire::PrimarySights &sights) {
+void ControlNode::replaceObservations(
+    const std::string &ip, const peer::wire::PrimarySights &observations) {
   auto &last = LastObservations[ip];
   std::set<std::string> services;
-  for (const auto &it : sights.sights())
+  for (const auto &it : observations.sights())
     services.insert(it.service());
   for (const auto &it : last.sights())
     if (!services.contains(it.service()))
       Detector.removeObserver(ip, it.service());
-  last = sights;
+  last = observations;
 }
 
-void ControlNode::onObservations(const std::string &ip,
-                                 const peer::wire::PrimarySights &sights) {
-  if (!sights.is_unchanged())
-    replaceObservations(ip, sights);
+void ControlNode::onObservations(
+    const std::string &ip, const peer::wire::PrimarySights &observations) {
+  if (!observations.is_unchanged())
+    replaceObservations(ip, observations);
   for (const auto &it : LastObservations[ip].sights()) {
     const auto *known = Directory.find(InstanceId(it.instance()));
     const bool isOtherIncarnation = known && known->StartTimeMs != it.born_ms();
--- a/src/control/ControlNode.h
+++ b/src/control/ControlNode.h
@@ -45,7 +45,7 @@
 class IControlLog {
 public:
   virtual ~IControlLog() = default;
-  virtual void decision(const std::string &line) = 0;
+  virtual void log(const std::string &line) = 0;
 };
 
 struct ControlOptions {
@@ -223,9 +223,9 @@
   peer::wire::Message allInstances() const;
   void updatePeers();
   void replaceObservations(const std::string &ip,
-                           const peer::wire::PrimarySights &sights);
+                           const peer::wire::PrimarySights &observations);
   void onObservations(const std::string &ip,
-                      const peer::wire::PrimarySights &sights);
+                      const peer::wire::PrimarySights &observations);
   void pingInstances(TimePoint now);
   /// The instances to ping now: all that are suspected, and of the others those
   /// whose last ping is the oldest.
--- a/src/control/IPromoter.h
+++ b/src/control/IPromoter.h
@@ -69,7 +69,7 @@
                     std::function<void(bool)> onDone) = 0;
   /// The instance has restarted: requests to its earlier incarnation get no
   /// answer, and its connections are closed.
-  virtual void forget(const InstanceId &instance) = 0;
+  virtual void cancelRequests(const InstanceId &instance) = 0;
   /// Connections to instances other than these may be closed.
   virtual void retainConnections(const std::set<InstanceId> &instances) = 0;
 };
--- a/src/control/internal/FailoverCoordinator.cpp
+++ b/src/control/internal/FailoverCoordinator.cpp
@@ -101,8 +101,8 @@
     }
     auto &attempt = it->second;
     if (now - attempt.StartedAt > AttemptTimeout) {
-      Log.decision(absl::StrCat("event=replacement_given_up service=", service,
-                                " fence=", attempt.Fence));
+      Log.log(absl::StrCat("event=replacement_given_up service=", service,
+                           " fence=", attempt.Fence));
       finishAttempt(now, service);
       continue;
     }
@@ -126,8 +126,8 @@
   attempt.IsPlanned = isPlanned;
   attempt.StartedAt = now;
   attempt.StageStartedAt = now;
-  Log.decision(absl::StrCat("event=replacement_begins service=", service,
-                            " planned=", isPlanned));
+  Log.log(absl::StrCat("event=replacement_begins service=", service,
+                       " planned=", isPlanned));
   wire::Command command;
   command.mutable_take_fence()->set_service(service);
   command.mutable_take_fence()->set_holder(Node.Options.NodeName);
@@ -234,22 +234,22 @@
     const bool isPrimary = it.second.Role == InstanceRole::Primary;
     // NOTE: a primary that answers and isn't leaving needs no successor.
     if (isPrimary && !attempt.IsPlanned) {
-      Log.decision(absl::StrCat("event=replacement_unneeded service=", service,
-                                " primary=", it.first.str()));
+      Log.log(absl::StrCat("event=replacement_unneeded service=", service,
+                           " primary=", it.first.str()));
       return finishAttempt(now, service);
     }
     if (!isPrimary && (!best || it.second.Received > best->second.Received))
       best = &it;
   }
   if (!best) {
-    Log.decision(
+    Log.log(
         absl::StrCat("event=replacement_without_candidate service=", service));
     return finishAttempt(now, service);
   }
   if (!hasEnoughAnswers(service, attempt)) {
-    Log.decision(absl::StrCat("event=replacement_unsure service=", service,
-                              " answers=", attempt.Answers.size(),
-                              " sync=", Node.syncReplicasOf(service)));
+    Log.log(absl::StrCat("event=replacement_unsure service=", service,
+                         " answers=", attempt.Answers.size(),
+                         " sync=", Node.syncReplicasOf(service)));
     return finishAttempt(now, service);
   }
   attempt.CurrentStage = Stage::Promoting;
@@ -259,12 +259,12 @@
   attempt.TargetStartTimeMs = Node.startTimeOf(best->first);
   const PromotionOrder order{service, best->first, Node.Options.NodeName,
                              attempt.Fence};
-  Log.decision(absl::StrCat("event=promotion_ordered service=", service,
-                            " instance=", best->first.str(),
-                            " fence=", attempt.Fence,
-                            " term=", best->second.Received.WrittenIn.Number,
-                            " position=", best->second.Received.Position.Offset,
-                            " answers=", attempt.Answers.size()));
+  Log.log(absl::StrCat("event=promotion_ordered service=", service,
+                       " instance=", best->first.str(),
+                       " fence=", attempt.Fence,
+                       " term=", best->second.Received.WrittenIn.Number,
+                       " position=", best->second.Received.Position.Offset,
+                       " answers=", attempt.Answers.size()));
   const std::uint64_t number = attempt.Number;
   Promoter.promote(
       order, [this, service, number, id = best->first](PromotionResult result) {
@@ -280,10 +280,9 @@
   const auto it = Attempts.find(service);
   if (it == Attempts.end() || it->second.Number != number)
     return;
-  Log.decision(absl::StrCat("event=promotion_answered service=", service,
-                            " instance=", instance.str(),
-                            " fence=", it->second.Fence,
-                            " result=", static_cast<int>(result)));
+  Log.log(absl::StrCat("event=promotion_answered service=", service,
+                       " instance=", instance.str(), " fence=",
+                       it->second.Fence, " result=", static_cast<int>(result)));
   // NOTE: an order without an answer may still be carried out, so entry VMs
   // receive it too; they rely on the role that the instance itself reports.
   if (result == PromotionResult::Rejected)
@@ -307,10 +306,9 @@
   it->second.Answers.erase(instance.Id);
   if (it->second.Target != instance.Id)
     return;
-  Log.decision(absl::StrCat("event=promotion_void service=", instance.Service,
-                            " instance=", instance.Id.str(),
-                            " fence=", it->second.Fence,
-                            " reason=\"it has started again\""));
+  Log.log(absl::StrCat("event=promotion_void service=", instance.Service,
+                       " instance=", instance.Id.str(), " fence=",
+                       it->second.Fence, " reason=\"it has started again\""));
   // NOTE: not finishAttempt(), which holds off the next replacement: there was
   // none, and the next order, under a higher fence, must supersede this one.
   endAttempt(now, instance.Service);
--- a/src/control/internal/Instances.cpp
+++ b/src/control/internal/Instances.cpp
@@ -17,7 +17,7 @@
 
 namespace stepledge::control {
 
-using membership::Change;
+using membership::HeartbeatEffect;
 using membership::InstanceRole;
 using membership::InstanceState;
 
@@ -70,12 +70,12 @@
   auto known = record;
   const auto lifecycle = State.lifecycleOf(known.Id.str(), known.StartTimeMs);
   known.State = std::max(known.State, static_cast<InstanceState>(lifecycle));
-  const Change change = Directory.merge(now, known);
-  if (change == Change::None)
+  const HeartbeatEffect change = Directory.merge(now, known);
+  if (change == HeartbeatEffect::None)
     return;
-  if (change == Change::Restarted)
+  if (change == HeartbeatEffect::Restarted)
     discardEarlierIncarnation(now, record);
-  const bool isChanged = change != Change::Alive;
+  const bool isChanged = change != HeartbeatEffect::Alive;
   if (isChanged)
     UnsentInstances.insert(record.Id);
   auto &reportedAt = AliveReportedAt[record.Id];
@@ -97,22 +97,21 @@
   if (const auto record = peer::decode(instance))
     return updateInstance(now, *record, true);
   if (const auto leftOut = UnreadableLines.take(now))
-    Log.decision(absl::StrCat("event=instance_unreadable instance=",
-                              absl::CHexEscape(instance.id().substr(0, 64)),
-                              " state=", instance.state(),
-                              " left_out=", *leftOut));
+    Log.log(absl::StrCat("event=instance_unreadable instance=",
+                         absl::CHexEscape(instance.id().substr(0, 64)),
+                         " state=", instance.state(), " left_out=", *leftOut));
 }
 
 void ControlNode::discardEarlierIncarnation(
     TimePoint now, const membership::InstanceRecord &record) {
-  Log.decision(absl::StrCat(
-      "event=instance_restarted instance=", record.Id.str(),
-      " service=", record.Service, " born_ms=", record.StartTimeMs));
+  Log.log(absl::StrCat("event=instance_restarted instance=", record.Id.str(),
+                       " service=", record.Service,
+                       " born_ms=", record.StartTimeMs));
   UnansweredPingSentAt.erase(record.Id);
   PingMissedSince.erase(record.Id);
   LastPingAt.erase(record.Id);
   Detector.dropReports(record.Service, record.Id);
-  Probe.forget(record.Id);
+  Probe.cancelRequests(record.Id);
   Failover->instanceRestarted(now, record);
 }
 
--- a/src/control/tests/ControlNodeTest.cpp
+++ b/src/control/tests/ControlNodeTest.cpp
@@ -65,10 +65,10 @@
 void reportObservation(FakeControls &group, const std::string &entryIp,
                        std::uint64_t silentMs) {
   peer::wire::Message message;
-  auto &sight = *message.mutable_sights()->add_sights();
-  sight.set_service("db");
-  sight.set_instance("p");
-  sight.set_silent_ms(silentMs);
+  auto &observation = *message.mutable_sights()->add_sights();
+  observation.set_service("db");
+  observation.set_instance("p");
+  observation.set_silent_ms(silentMs);
   group.node(group.leader()).setTime(group.now());
   group.node(group.leader()).peerSaid(entryIp, message);
 }
--- a/src/control/tests/FakeControls.h
+++ b/src/control/tests/FakeControls.h
@@ -56,7 +56,7 @@
     ++Pings[instance.Id];
     onDone(!Silent.contains(instance.Id));
   }
-  void forget(const InstanceId &instance) override {
+  void cancelRequests(const InstanceId &instance) override {
     Forgotten.insert(instance);
     for (auto &[id, onDone] : HeldStatuses)
       if (id == instance && onDone)
@@ -159,7 +159,7 @@
     bool send(const std::string &ip,
               const peer::wire::Message &message) override;
     void keepConnected(const std::set<std::string> &ips) override { (void)ips; }
-    void decision(const std::string &line) override { Lines.push_back(line); }
+    void log(const std::string &line) override { Lines.push_back(line); }
     std::vector<std::string> Lines;
   };
 
--- a/src/control/tests/RestartedInstanceTest.cpp
+++ b/src/control/tests/RestartedInstanceTest.cpp
@@ -65,11 +65,11 @@
       return;
     for (const char *ip : {"10.9.0.1", "10.9.0.2"}) {
       peer::wire::Message message;
-      auto &sight = *message.mutable_sights()->add_sights();
-      sight.set_service("db");
-      sight.set_instance("p");
-      sight.set_born_ms(FirstStartMs);
-      sight.set_silent_ms(static_cast<std::uint64_t>(i) * 100);
+      auto &observation = *message.mutable_sights()->add_sights();
+      observation.set_service("db");
+      observation.set_instance("p");
+      observation.set_born_ms(FirstStartMs);
+      observation.set_silent_ms(static_cast<std::uint64_t>(i) * 100);
       group.sendFromPeer(ip, group.leader(), message);
     }
     group.run(milliseconds(100));
--- a/src/entry/EntryNode.cpp
+++ b/src/entry/EntryNode.cpp
@@ -47,7 +47,8 @@
   }
 }
 
-void EntryNode::checkIsolation(const std::vector<proxy::PrimarySight> &sights) {
+void EntryNode::checkIsolation(
+    const std::vector<proxy::PrimaryObservation> &sights) {
   int silent = 0;
   for (const auto &it : sights)
     silent += it.SilentFor > Duration{};
@@ -62,7 +63,7 @@
                             " silent_primaries=", silent));
 }
 
-void EntryNode::tellSights(const std::vector<proxy::PrimarySight> &all) {
+void EntryNode::tellSights(const std::vector<proxy::PrimaryObservation> &all) {
   peer::wire::Message message;
   message.mutable_sights();
   for (const auto &it : all) {
--- a/src/entry/EntryNode.h
+++ b/src/entry/EntryNode.h
@@ -71,8 +71,8 @@
   bool takeChange();
   /// Asks for the newest configuration that was announced, if it isn't held.
   void fetch();
-  void tellSights(const std::vector<proxy::PrimarySight> &all);
-  void checkIsolation(const std::vector<proxy::PrimarySight> &sights);
+  void tellSights(const std::vector<proxy::PrimaryObservation> &all);
+  void checkIsolation(const std::vector<proxy::PrimaryObservation> &sights);
   void shareEntries();
   /// Tells control VMs from which of them it wants to hear of the instances.
   void reviewSources();
--- a/src/entry/LendingService.cpp
+++ b/src/entry/LendingService.cpp
@@ -31,8 +31,8 @@
                               const peer::wire::Message &message) {
   Known[ip].HeardAt = Now;
   if (message.has_borrow_call())
-    Proxy->lender().ask(Now, {ip, message.borrow_call().use()},
-                        decodeCall(Now, message.borrow_call()));
+    Proxy->lender().request(Now, {ip, message.borrow_call().use()},
+                            decodeCall(Now, message.borrow_call()));
   else if (message.has_borrow_end())
     Proxy->lender().end(Now, {ip, message.borrow_end().use()});
 }
@@ -50,7 +50,7 @@
     const std::vector<proxy::StatementReply> &replies) {
   peer::wire::Message message;
   auto &out = *message.mutable_borrow_replies();
-  out.set_use(key.Use);
+  out.set_use(key.Number);
   for (const auto &it : replies)
     encodeReply(it, *out.add_replies());
   tell(key.Ip, message);
@@ -61,7 +61,7 @@
                                  Duration expectedWait) {
   peer::wire::Message message;
   auto &out = *message.mutable_borrow_end();
-  out.set_use(key.Use);
+  out.set_use(key.Number);
   out.set_reason(static_cast<std::uint32_t>(reason));
   out.set_expected_wait_us(expectedWait.count());
   tell(key.Ip, message);
--- a/src/entry/QuotaService.cpp
+++ b/src/entry/QuotaService.cpp
@@ -70,17 +70,18 @@
   if (!message.has_quota_grant())
     return;
   const auto &in = message.quota_grant();
-  Ledger.answered(Now, ip,
-                  {in.number(), OrganisationId(in.organisation()),
-                   resultOf(in.result()), in.operations(),
-                   Duration(in.retry_after_us())});
+  Ledger.receiveGrant(Now, ip,
+                      {in.number(), OrganisationId(in.organisation()),
+                       resultOf(in.result()), in.operations(),
+                       Duration(in.retry_after_us())});
 }
 
 void QuotaService::takeAsk(const std::string &ip,
                            const peer::wire::QuotaAsk &ask) {
-  Ledger.asked(Now, ip,
-               {ask.number(), OrganisationId(ask.organisation()),
-                ask.operations(), ask.is_from_other_hall(), ask.priority()});
+  Ledger.receiveAsk(Now, ip,
+                    {ask.number(), OrganisationId(ask.organisation()),
+                     ask.operations(), ask.is_from_other_hall(),
+                     ask.priority()});
 }
 
 bool QuotaService::askHome(const std::string &ip, const quota::QuotaAsk &ask) {
--- a/src/entry/tests/LendingScheduleTest.cpp
+++ b/src/entry/tests/LendingScheduleTest.cpp
@@ -332,7 +332,7 @@
       Group.promote(instance);
       break;
     case 4:
-      Group.silence(instance, true);
+      Group.setSilent(instance, true);
       break;
     case 5:
       Net.silence(vm, true);
@@ -356,7 +356,7 @@
     Group.setBusyShare(0.0);
     for (std::size_t i = 0; i < Group.size(); ++i) {
       Group.restart(i);
-      Group.silence(i, false);
+      Group.setSilent(i, false);
     }
     for (std::size_t i = 0; i < VmCount; ++i)
       Net.silence(i, false);
--- a/src/gateway/InstanceProbe.cpp
+++ b/src/gateway/InstanceProbe.cpp
@@ -109,7 +109,7 @@
   questions.fail();
 }
 
-void InstanceProbe::forget(const InstanceId &instance) {
+void InstanceProbe::cancelRequests(const InstanceId &instance) {
   const auto it = Connections.find(instance);
   if (it != Connections.end())
     lost(instance, it->second.Number);
--- a/src/gateway/InstanceProbe.h
+++ b/src/gateway/InstanceProbe.h
@@ -34,7 +34,7 @@
   void resume(const membership::InstanceRecord &instance) override;
   void ping(const membership::InstanceRecord &instance,
             std::function<void(bool)> onDone) override;
-  void forget(const InstanceId &instance) override;
+  void cancelRequests(const InstanceId &instance) override;
   void retainConnections(const std::set<InstanceId> &instances) override;
 
 private:
--- a/src/membership/HomeTable.cpp
+++ b/src/membership/HomeTable.cpp
@@ -35,7 +35,7 @@
   RemainderRanks.clear();
 }
 
-bool HomeTable::isNeeded(int usable) const {
+bool HomeTable::isSharingNeeded(int usable) const {
   // NOTE: with fewer than 1.5 connections per VM, a transaction that holds one
   // leaves none for the other statements of its VM.
   return 2 * usable < 3 * static_cast<int>(Entries.size());
--- a/src/membership/HomeTable.h
+++ b/src/membership/HomeTable.h
@@ -50,7 +50,7 @@
   const std::vector<EntryVm> &entries() const { return Entries; }
 
   /// True if \p usable connections are too few for every VM to have its own.
-  bool isNeeded(int usable) const;
+  bool isSharingNeeded(int usable) const;
   HomeShare share(int usable) const;
   /// This VM's even part, at least one, of the \p connections to \p instance in
   /// \p hall. The remainder goes first to the VMs in the instance's hall, which
--- a/src/membership/InstanceDirectory.cpp
+++ b/src/membership/InstanceDirectory.cpp
@@ -24,11 +24,12 @@
   return next;
 }
 
-Change InstanceDirectory::merge(TimePoint now, const InstanceRecord &record) {
+HeartbeatEffect InstanceDirectory::merge(TimePoint now,
+                                         const InstanceRecord &record) {
   const auto [it, isNew] = Instances.try_emplace(record.Id, Known{record, now});
   if (isNew) {
     ByService[record.Service].insert(record.Id);
-    return Change::Changed;
+    return HeartbeatEffect::Changed;
   }
   auto &known = it->second;
   const InstanceRecord next = merged(known.Record, record);
@@ -45,10 +46,10 @@
   if (isNewer)
     known.LastHeartbeatAt = now;
   if (isLaterIncarnation)
-    return Change::Restarted;
+    return HeartbeatEffect::Restarted;
   if (isChanged)
-    return Change::Changed;
-  return isNewer ? Change::Alive : Change::None;
+    return HeartbeatEffect::Changed;
+  return isNewer ? HeartbeatEffect::Alive : HeartbeatEffect::None;
 }
 
 bool InstanceDirectory::raiseState(const InstanceId &id,
--- a/src/membership/InstanceDirectory.h
+++ b/src/membership/InstanceDirectory.h
@@ -16,7 +16,7 @@
 namespace stepledge::membership {
 
 /// The effect of a heartbeat on the directory.
-enum class Change {
+enum class HeartbeatEffect {
   /// The heartbeat was late or a duplicate.
   None,
   /// The instance is alive; nothing else has changed.
@@ -37,7 +37,7 @@
 class InstanceDirectory {
 public:
   /// Merges a record received from the instance or from another VM.
-  Change merge(TimePoint now, const InstanceRecord &record);
+  HeartbeatEffect merge(TimePoint now, const InstanceRecord &record);
   /// Permanently raises the state of the incarnation that started at \p
   /// startTimeMs to \p state.
   bool raiseState(const InstanceId &id, std::uint64_t startTimeMs,
--- a/src/membership/InstanceNames.h
+++ b/src/membership/InstanceNames.h
@@ -18,7 +18,7 @@
 
 /// Names are written into lines whose fields are separated by spaces, so they
 /// may hold only printable ASCII without spaces.
-inline bool isName(const std::string &text) {
+inline bool isValidName(const std::string &text) {
   return !text.empty() && text.size() <= MaxNameBytes &&
          std::all_of(text.begin(), text.end(),
                      [](unsigned char c) { return c > ' ' && c < 0x7f; });
--- a/src/membership/tests/HomeTableTest.cpp
+++ b/src/membership/tests/HomeTableTest.cpp
@@ -115,10 +115,10 @@
 TEST_CASE("HomeTable_IsNeededWhereConnectionsAreFewerThanVms") {
   HomeTable table("10.1.0.1");
   table.setEntries(vms(9, 3));
-  CHECK(!table.isNeeded(19));
+  CHECK(!table.isSharingNeeded(19));
   table.setEntries(vms(70, 3));
-  CHECK(table.isNeeded(49));
-  CHECK(!table.isNeeded(263));
+  CHECK(table.isSharingNeeded(49));
+  CHECK(!table.isSharingNeeded(263));
 }
 
 TEST_CASE("HomeTable_EvenSharesAddUpToAllConnections") {
--- a/src/membership/tests/InstanceDirectoryTest.cpp
+++ b/src/membership/tests/InstanceDirectoryTest.cpp
@@ -47,10 +47,10 @@
   directory.merge(Start, recordOf("old", 9, InstanceRole::Replica));
   const auto change =
       directory.merge(Start, recordOf("old", 8, InstanceRole::Primary));
-  CHECK(change == Change::None);
+  CHECK(change == HeartbeatEffect::None);
   CHECK(directory.find(InstanceId("old"))->Role == InstanceRole::Replica);
   CHECK(directory.merge(Start, recordOf("new", 1, InstanceRole::Primary)) ==
-        Change::Changed);
+        HeartbeatEffect::Changed);
   CHECK(directory.find(InstanceId("new"))->Role == InstanceRole::Primary);
 }
 
--- a/src/node/ControlProgram.cpp
+++ b/src/node/ControlProgram.cpp
@@ -31,8 +31,8 @@
               observe::readClock) {}
 
 int ControlProgram::run() {
-  decision(absl::StrCat("event=start program=control hall=",
-                        Options.Module.Node.Hall));
+  log(absl::StrCat("event=start program=control hall=",
+                   Options.Module.Node.Hall));
   if (auto status = Control.start(); !status.ok())
     return Loop.fail(status);
   Calls = Adapters.MakeCallHandler(Control.node(), *this);
@@ -43,7 +43,7 @@
   // NOTE: the seeds are only for a first start; the group's members are in its
   // log.
   events.Reload = [this] {
-    decision(absl::StrCat("event=reload valid=", Adapters.AreSettingsValid()));
+    log(absl::StrCat("event=reload valid=", Adapters.AreSettingsValid()));
   };
   events.FillMetrics = [this](auto &page) { fillMetrics(page); };
   return Loop.run(std::move(events), Options.Metrics);
@@ -61,7 +61,7 @@
   if (EndAt)
     return;
   EndAt = observe::readClock() + StopTime;
-  decision("event=stopping");
+  log("event=stopping");
 }
 
 void ControlProgram::fillMetrics(observe::MetricsPage &page) {
@@ -75,6 +75,6 @@
   setTraffic(Control.traffic(), page);
 }
 
-void ControlProgram::decision(const std::string &line) { Loop.write(line); }
+void ControlProgram::log(const std::string &line) { Loop.write(line); }
 
 } // namespace stepledge::node
--- a/src/node/ControlProgram.h
+++ b/src/node/ControlProgram.h
@@ -49,7 +49,7 @@
   /// Serves until it is told to stop; the process's exit code.
   int run();
 
-  void decision(const std::string &line) override;
+  void log(const std::string &line) override;
 
 private:
   std::optional<Duration> tick();
--- a/src/node/EntryProgram.cpp
+++ b/src/node/EntryProgram.cpp
@@ -69,7 +69,7 @@
            static_cast<double>(proxy.outlierInstances()));
   page.set(
       "organisations_held_back",
-      static_cast<double>(proxy.organisationsOverShare(observe::readClock())));
+      static_cast<double>(proxy.deferredOrganisations(observe::readClock())));
   setTraffic(Entry.traffic(), page);
 }
 
--- a/src/overload/QueueLoad.h
+++ b/src/overload/QueueLoad.h
@@ -41,7 +41,7 @@
   /// Records how long a borrow held its connection.
   void noteHoldTime(Duration time);
   /// The smoothed time for which a borrow holds a connection; 0 while unknown.
-  Duration held() const { return HoldTime; }
+  Duration holdTime() const { return HoldTime; }
   /// The expected wait of a borrow with \p ahead others before it in the queue
   /// and \p connections, none of them free; 0 while unknown. Assumes that more
   /// urgent borrows go on arriving at their recent rate.
--- a/src/overload/ReportedWaits.cpp
+++ b/src/overload/ReportedWaits.cpp
@@ -33,9 +33,9 @@
   return report == lenders->second.end() ? nullptr : &report->second;
 }
 
-Duration ReportedWaits::left(TimePoint now, const InstanceId &instance,
-                             const std::string &lender,
-                             const Urgency &urgency) const {
+Duration ReportedWaits::remaining(TimePoint now, const InstanceId &instance,
+                                  const std::string &lender,
+                                  const Urgency &urgency) const {
   Duration longest{};
   const auto *report = find(instance, lender);
   if (!report)
--- a/src/overload/ReportedWaits.h
+++ b/src/overload/ReportedWaits.h
@@ -37,8 +37,8 @@
   /// The remainder of the longest wait reported for borrows that are at least
   /// as urgent; 0 if there is none. A longer wait of less urgent borrows
   /// doesn't count.
-  Duration left(TimePoint now, const InstanceId &instance,
-                const std::string &lender, const Urgency &urgency) const;
+  Duration remaining(TimePoint now, const InstanceId &instance,
+                     const std::string &lender, const Urgency &urgency) const;
   /// Records that the lender has served a borrow.
   void noteServed(TimePoint now, const InstanceId &instance,
                   const std::string &lender);
--- a/src/overload/WaitPolicy.cpp
+++ b/src/overload/WaitPolicy.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-Duration WaitPolicy::limit(const WaitFacts &facts) const {
+Duration WaitPolicy::maxWait(const WaitFacts &facts) const {
   // NOTE: a transaction under way and a statement that waits for a new primary
   // don't wait for capacity, so refusing them early frees none.
   const bool waitsForCapacity = !facts.IsUnderWay && !facts.IsAwaitingPrimary &&
@@ -45,7 +45,7 @@
                     Options.OnTimeFraction);
 }
 
-Duration WaitPolicy::late(const WaitFacts &facts, Duration age) const {
+Duration WaitPolicy::maxLateWait(const WaitFacts &facts, Duration age) const {
   return std::max(Duration{}, maxLateAge(facts) - age);
 }
 
--- a/src/overload/WaitPolicy.h
+++ b/src/overload/WaitPolicy.h
@@ -39,7 +39,7 @@
 
   /// The maximum wait, counted from the statement's arrival, of a statement
   /// that could not be sent anywhere yet.
-  Duration limit(const WaitFacts &facts) const;
+  Duration maxWait(const WaitFacts &facts) const;
   /// How long, counted from its arrival, a statement may wait although it is
   /// late.
   Duration maxLateAge(const WaitFacts &facts) const;
@@ -49,7 +49,7 @@
                          Duration work = {}) const;
   /// The longest expected wait after which an answer is still useful, on time
   /// or late.
-  Duration late(const WaitFacts &facts, Duration age) const;
+  Duration maxLateWait(const WaitFacts &facts, Duration age) const;
 
 private:
   WaitOptions Options;
--- a/src/overload/tests/QueueLoadTest.cpp
+++ b/src/overload/tests/QueueLoadTest.cpp
@@ -77,8 +77,8 @@
     load.noteHoldTime(milliseconds(i % 10 == 0 ? 300 : 10));
     if (i < 200)
       continue;
-    least = std::min(least, load.held());
-    most = std::max(most, load.held());
+    least = std::min(least, load.holdTime());
+    most = std::max(most, load.holdTime());
   }
   CHECK(most < 2 * least);
   CHECK(most < milliseconds(20));
--- a/src/overload/tests/ReportedWaitsTest.cpp
+++ b/src/overload/tests/ReportedWaitsTest.cpp
@@ -22,14 +22,14 @@
   ReportedWaits waits;
   CHECK(waits.isEmpty(Start, Primary));
   waits.note(Start, Primary, "a", Usual, milliseconds(100));
-  CHECK(waits.left(Start + milliseconds(40), Primary, "a", Usual) ==
+  CHECK(waits.remaining(Start + milliseconds(40), Primary, "a", Usual) ==
         milliseconds(60));
   CHECK(!waits.isEmpty(Start + milliseconds(40), Primary));
-  CHECK(waits.left(Start + milliseconds(100), Primary, "a", Usual) ==
+  CHECK(waits.remaining(Start + milliseconds(100), Primary, "a", Usual) ==
         Duration{});
   CHECK(waits.isEmpty(Start + milliseconds(100), Primary));
-  CHECK(waits.left(Start, Primary, "b", Usual) == Duration{});
-  CHECK(waits.left(Start, InstanceId("q"), "a", Usual) == Duration{});
+  CHECK(waits.remaining(Start, Primary, "b", Usual) == Duration{});
+  CHECK(waits.remaining(Start, InstanceId("q"), "a", Usual) == Duration{});
 }
 
 TEST_CASE("ReportedWaits_LostOrAbsurdReportExpiresSoon") {
@@ -38,17 +38,17 @@
   waits.note(Start, Primary, "a", Usual, std::chrono::hours(1));
   const Duration maxAge = ReportedWaitOptions().MaxValidity;
   // A statement that can't wait that long isn't sent there meanwhile.
-  CHECK(waits.left(Start, Primary, "a", Usual) == std::chrono::hours(1));
-  CHECK(waits.left(Start + maxAge, Primary, "a", Usual) == Duration{});
+  CHECK(waits.remaining(Start, Primary, "a", Usual) == std::chrono::hours(1));
+  CHECK(waits.remaining(Start + maxAge, Primary, "a", Usual) == Duration{});
   CHECK(waits.isEmpty(Start + maxAge, Primary));
 }
 
 TEST_CASE("ReportedWaits_WaitOfLessUrgentBorrowsDoesNotApplyToUrgentOnes") {
   ReportedWaits waits;
   waits.note(Start, Primary, "a", Usual, milliseconds(200));
-  CHECK(waits.left(Start, Primary, "a", {false, 0}) == Duration{});
-  CHECK(waits.left(Start, Primary, "a", {false, 2}) == milliseconds(200));
-  CHECK(waits.left(Start, Primary, "a", {true, 0}) == milliseconds(200));
+  CHECK(waits.remaining(Start, Primary, "a", {false, 0}) == Duration{});
+  CHECK(waits.remaining(Start, Primary, "a", {false, 2}) == milliseconds(200));
+  CHECK(waits.remaining(Start, Primary, "a", {true, 0}) == milliseconds(200));
 }
 
 TEST_CASE("ReportedWaits_NewestReportApplies") {
@@ -56,8 +56,8 @@
   waits.note(Start, Primary, "a", {false, 0}, milliseconds(200));
   waits.note(Start, Primary, "a", Usual, milliseconds(300));
   waits.note(Start, Primary, "a", Usual, milliseconds(50));
-  CHECK(waits.left(Start, Primary, "a", Usual) == milliseconds(50));
-  CHECK(waits.left(Start, Primary, "a", {false, 0}) == milliseconds(50));
+  CHECK(waits.remaining(Start, Primary, "a", Usual) == milliseconds(50));
+  CHECK(waits.remaining(Start, Primary, "a", {false, 0}) == milliseconds(50));
 }
 
 TEST_CASE("ReportedWaits_OneProbePerInterval") {
--- a/src/overload/tests/WaitPolicyTest.cpp
+++ b/src/overload/tests/WaitPolicyTest.cpp
@@ -14,13 +14,13 @@
   const WaitPolicy policy;
   WaitFacts facts;
   facts.Objective = milliseconds(240);
-  CHECK(policy.limit(facts) == WaitOptions().MaxWait);
+  CHECK(policy.maxWait(facts) == WaitOptions().MaxWait);
   facts.IsShed = true;
-  CHECK(policy.limit(facts) == milliseconds(30));
+  CHECK(policy.maxWait(facts) == milliseconds(30));
   facts.IsUnsendable = true;
-  CHECK(policy.limit(facts) == milliseconds(30));
+  CHECK(policy.maxWait(facts) == milliseconds(30));
   facts.IsShed = false;
-  CHECK(policy.limit(facts) == WaitOptions().MaxWaitUnsendable);
+  CHECK(policy.maxWait(facts) == WaitOptions().MaxWaitUnsendable);
 }
 
 TEST_CASE("WaitPolicy_LimitFollowsTheRoute") {
@@ -28,16 +28,16 @@
   WaitFacts facts;
   facts.Objective = milliseconds(120);
   facts.StatementTimeout = milliseconds(400);
-  CHECK(policy.limit(facts) == milliseconds(200));
+  CHECK(policy.maxWait(facts) == milliseconds(200));
   facts.Objective = milliseconds(1200);
   facts.StatementTimeout = milliseconds(3000);
-  CHECK(policy.limit(facts) == milliseconds(1500));
+  CHECK(policy.maxWait(facts) == milliseconds(1500));
   // A statement isn't refused while it could be on time, and never waits beyond
   // its timeout.
   facts.StatementTimeout = milliseconds(1500);
-  CHECK(policy.limit(facts) == milliseconds(1200));
+  CHECK(policy.maxWait(facts) == milliseconds(1200));
   facts.StatementTimeout = milliseconds(1000);
-  CHECK(policy.limit(facts) == milliseconds(1000));
+  CHECK(policy.maxWait(facts) == milliseconds(1000));
 }
 
 TEST_CASE("WaitPolicy_WaitsNotForCapacityKeepTheDefaultMaximum") {
@@ -46,12 +46,12 @@
   facts.Objective = milliseconds(120);
   facts.StatementTimeout = milliseconds(400);
   facts.IsUnderWay = true;
-  CHECK(policy.limit(facts) == WaitOptions().MaxWait);
+  CHECK(policy.maxWait(facts) == WaitOptions().MaxWait);
   facts.IsUnderWay = false;
   facts.IsAwaitingPrimary = true;
-  CHECK(policy.limit(facts) == WaitOptions().MaxWait);
+  CHECK(policy.maxWait(facts) == WaitOptions().MaxWait);
   facts.IsUnsendable = true;
-  CHECK(policy.limit(facts) == WaitOptions().MaxWaitUnsendable);
+  CHECK(policy.maxWait(facts) == WaitOptions().MaxWaitUnsendable);
 }
 
 TEST_CASE("WaitPolicy_UsefulWaitShrinksWithAge") {
@@ -63,9 +63,9 @@
   CHECK(policy.maxOnTimeWait(facts, milliseconds(100), milliseconds(40)) ==
         milliseconds(75));
   CHECK(policy.maxOnTimeWait(facts, milliseconds(300)) == Duration{});
-  CHECK(policy.late(facts, milliseconds(300)) == milliseconds(100));
-  CHECK(policy.late(facts, milliseconds(500)) == Duration{});
+  CHECK(policy.maxLateWait(facts, milliseconds(300)) == milliseconds(100));
+  CHECK(policy.maxLateWait(facts, milliseconds(500)) == Duration{});
   // A lender doesn't receive the timeout.
   facts.StatementTimeout = Duration{};
-  CHECK(policy.late(facts, milliseconds(300)) == milliseconds(180));
+  CHECK(policy.maxLateWait(facts, milliseconds(300)) == milliseconds(180));
 }
--- a/src/peer/InstanceCodec.cpp
+++ b/src/peer/InstanceCodec.cpp
@@ -28,9 +28,9 @@
 
 std::optional<InstanceRecord> decode(const wire::Instance &instance) {
   constexpr auto LastState = static_cast<std::uint32_t>(InstanceState::Gone);
-  const bool isNamed = membership::isName(instance.id()) &&
-                       membership::isName(instance.service()) &&
-                       membership::isName(instance.address());
+  const bool isNamed = membership::isValidName(instance.id()) &&
+                       membership::isValidName(instance.service()) &&
+                       membership::isValidName(instance.address());
   if (!isNamed || instance.state() > LastState)
     return std::nullopt;
   InstanceRecord record;
--- a/src/proxy/IBorrowerIo.h
+++ b/src/proxy/IBorrowerIo.h
@@ -25,7 +25,7 @@
   /// The address of the borrowing VM.
   std::string Ip;
   /// The borrow number that the borrower has assigned.
-  std::uint64_t Use = 0;
+  std::uint64_t Number = 0;
   auto operator<=>(const BorrowKey &) const = default;
 };
 
--- a/src/proxy/Proxy.cpp
+++ b/src/proxy/Proxy.cpp
@@ -43,7 +43,7 @@
     : Options(std::move(options)), Io(io), Log(log), Quota(quota),
       Watch(Options.OwnIp, Options.OwnHall),
       ReadRetryBudget(Options.ReadRetryShare, Options.ReadRetryBurst), Pool(io),
-      Homes(Options.OwnIp), Lending(*this, borrowers, log, Line) {}
+      Homes(Options.OwnIp), Lending(*this, borrowers, log, Scheduler) {}
 
 void Proxy::applyConfiguration(TimePoint now,
                                control::Configuration configuration) {
@@ -55,7 +55,7 @@
   for (const auto &[name, service] : Configuration.Services)
     tracker(name);
   Quota.setOrganisations(Configuration.Organisations);
-  Line.setRates(ratesOf(Configuration));
+  Scheduler.setRates(ratesOf(Configuration));
   reviewSessions(now);
   for (const auto &[name, service] : Configuration.Services)
     dispatchQueue(now, name);
@@ -296,8 +296,8 @@
   default:
     break;
   }
-  Watch.noteUse(now, route->Service);
-  if (Waiting[route->Service].size() >= Options.QueueLength)
+  Watch.noteStatement(now, route->Service);
+  if (StatementQueues[route->Service].size() >= Options.QueueLength)
     return refuse(now, session, ReplyCode::Busy, "the queue is full");
   PendingStatement work;
   work.Mode = statement.Mode;
@@ -375,17 +375,17 @@
                      [](const auto &it) { return !it.second->all().empty(); });
 }
 
-std::vector<PrimarySight> Proxy::primaryObservations(TimePoint now) {
-  std::vector<PrimarySight> observations;
+std::vector<PrimaryObservation> Proxy::primaryObservations(TimePoint now) {
+  std::vector<PrimaryObservation> observations;
   for (const auto &service : Watch.watched(now)) {
     auto &instances = tracker(service);
     const auto primary = instances.primary(now);
     if (!primary)
       continue;
     const auto *instance = instances.find(*primary);
-    PrimarySight observation{service, *primary,
-                             instance ? instance->Record.StartTimeMs : 0,
-                             Duration{}};
+    PrimaryObservation observation{service, *primary,
+                                   instance ? instance->Record.StartTimeMs : 0,
+                                   Duration{}};
     if (instance && instance->SilentSince)
       observation.SilentFor = now - *instance->SilentSince;
     observations.push_back(std::move(observation));
--- a/src/proxy/Proxy.h
+++ b/src/proxy/Proxy.h
@@ -34,7 +34,7 @@
 namespace stepledge::proxy {
 
 /// The primary of a service as this VM observes it.
-struct PrimarySight {
+struct PrimaryObservation {
   std::string Service;
   InstanceId Primary;
   /// The observed incarnation; as in membership::InstanceRecord.
@@ -117,8 +117,8 @@
   std::size_t sessionCount() const { return Sessions.size(); }
   /// Number of organisations over their fair share of an instance, whose
   /// statements wait behind those of others.
-  std::size_t organisationsOverShare(TimePoint now) const {
-    return Line.heldBack(now);
+  std::size_t deferredOrganisations(TimePoint now) const {
+    return Scheduler.deferredCount(now);
   }
   /// Whether any client waits for an answer.
   bool isBusy() const;
@@ -132,7 +132,7 @@
   /// they answer them worse than their siblings.
   int outlierInstances() const;
   /// Observations of the primaries of the services that this VM watches.
-  std::vector<PrimarySight> primaryObservations(TimePoint now);
+  std::vector<PrimaryObservation> primaryObservations(TimePoint now);
 
 private:
   /// Closes all connections to an instance that has restarted: a connection
@@ -301,8 +301,8 @@
             const ClientSession *session);
   /// The lender has capacity: according to its reports, a borrow for the
   /// session's statement would not wait too long there.
-  bool hasRoom(TimePoint now, const ClientSession &session,
-               const InstanceId &instance, const std::string &lender);
+  bool hasCapacity(TimePoint now, const ClientSession &session,
+                   const InstanceId &instance, const std::string &lender);
   /// Enough of \p lenders have reported waits that are too long, and none has
   /// served a borrow since, to assume that the others have no capacity either.
   bool lackCapacity(TimePoint now, const ClientSession &session,
@@ -365,10 +365,10 @@
   void transactionStatementAnswered(TimePoint now, ClientSession &session,
                                     const InstanceId &instance,
                                     StatementReply reply);
-  void wait(ClientSession &session, TimePoint notBefore);
+  void addToQueue(ClientSession &session, TimePoint notBefore);
   void removeFromQueue(ClientSession &session);
-  void notRun(TimePoint now, ClientSession &session, ReplyCode code,
-              const InstanceId &instance);
+  void retryStatement(TimePoint now, ClientSession &session, ReplyCode code,
+                      const InstanceId &instance);
   void noteCommit(ClientSession &session, const InstanceId &instance,
                   const StatementReply &reply, TimePoint sentAt);
   /// How long a statement that isn't sent yet may wait.
@@ -451,14 +451,14 @@
     std::vector<ClientStatement> Statements;
   };
   std::vector<EarlyClient> EarlyClients;
-  scheduling::QueueScheduler Line;
-  overload::WaitPolicy Patience;
+  scheduling::QueueScheduler Scheduler;
+  overload::WaitPolicy WaitLimits;
   RouteStatementTimes StatementTimes;
   /// The budget of reads that are sent again because their instance is slow.
   admission::RetryBudget ReadRetryBudget;
   LoadShedder Shedder;
   /// By service, the statements that need a connection.
-  std::map<std::string, std::set<WaitKey>> Waiting;
+  std::map<std::string, std::set<WaitKey>> StatementQueues;
   ConnectionPool Pool;
   /// When the first configuration arrived.
   TimePoint StartedAt{};
@@ -470,7 +470,7 @@
   /// By instance, the lenders that failed or had no free connection, and until
   /// when they are not asked again.
   std::map<InstanceId, std::map<std::string, TimePoint>> PausedLenders;
-  overload::ReportedWaits Told;
+  overload::ReportedWaits ReportedWaits;
 };
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/Access.cpp
+++ b/src/proxy/internal/Access.cpp
@@ -105,7 +105,7 @@
     return true;
   case quota::QuotaVerdict::Pending:
     session.Current->LastRefusal = "the organisation's quota isn't known";
-    wait(session, session.Current->NotBefore);
+    addToQueue(session, session.Current->NotBefore);
     return false;
   case quota::QuotaVerdict::Exhausted:
     break;
--- a/src/proxy/internal/Answers.cpp
+++ b/src/proxy/internal/Answers.cpp
@@ -49,7 +49,7 @@
     }
     if (reply.Position)
       tracker(service).notePosition(now, instance, *reply.Position);
-    Lending.pump(now, service, instance);
+    Lending.serveQueue(now, service, instance);
     dispatchQueue(now, service);
     return;
   }
@@ -110,7 +110,7 @@
     noteSlotTime(now, *it, now - sent.SentAt);
   }
   if (it->isBorrowed() && isFromInstance)
-    Told.noteServed(now, it->Instance, it->LenderIp);
+    ReportedWaits.noteServed(now, it->Instance, it->LenderIp);
   if (reply.Position)
     instances.notePosition(now, it->Instance, *reply.Position);
 
@@ -151,12 +151,12 @@
   const bool hasOtherOrganisation =
       connection.Organisation != session.Organisation;
   if (session.IsKeyWithdrawn || hasOtherOrganisation) {
-    connection.giveUp();
+    connection.abandon();
     rollBack(now, connection);
     return session.IsKeyWithdrawn
                ? refuse(now, session, ReplyCode::Unauthorised,
                         "the key was taken away")
-               : notRun(now, session, ReplyCode::Aborted, instance);
+               : retryStatement(now, session, ReplyCode::Aborted, instance);
   }
   if (reply.Code == ReplyCode::Success) {
     const bool isProof = session.Current->PrimaryOnly;
@@ -176,7 +176,7 @@
     connection.IsAbandoned = true;
     rollBack(now, connection);
   }
-  notRun(now, session, reply.Code, instance);
+  retryStatement(now, session, reply.Code, instance);
 }
 
 void Proxy::statementAnswered(TimePoint now, ClientSession &session,
@@ -243,7 +243,7 @@
                           work.Mode == AccessMode::Read &&
                           work.SendCount < MaxReadSends;
   if (isNotRun(reply.Code) || failedRead)
-    return notRun(now, session, reply.Code, instance);
+    return retryStatement(now, session, reply.Code, instance);
   refuse(now, session, reply.Code, reply.Detail);
 }
 
@@ -266,10 +266,10 @@
   }
   const bool isStillOpen = reply.State == SessionState::InTransaction;
   if (reply.Code == ReplyCode::Busy && isStillOpen)
-    return wait(session, now + Options.RetryPause);
+    return addToQueue(session, now + Options.RetryPause);
   if (isNotRun(reply.Code) && !session.HasRunInTransaction && !isCommit) {
     releasePinned(now, session);
-    return notRun(now, session, reply.Code, instance);
+    return retryStatement(now, session, reply.Code, instance);
   }
   if (isCommit) {
     // Whatever the instance left open is rolled back with the connection's
@@ -294,8 +294,8 @@
   tracker(session.Route.Service).noteProof(sentAt, instance, *reply.Position);
 }
 
-void Proxy::notRun(TimePoint now, ClientSession &session, ReplyCode code,
-                   const InstanceId &instance) {
+void Proxy::retryStatement(TimePoint now, ClientSession &session,
+                           ReplyCode code, const InstanceId &instance) {
   auto &work = *session.Current;
   work.Stage = StatementStage::Waiting;
   work.Connection.reset();
@@ -327,7 +327,7 @@
   if (!it)
     return;
   const InstanceConnection lost = *it;
-  Pool.forget(connection);
+  Pool.remove(connection);
   auto &instances = tracker(lost.Service);
   if (auto *instance = instances.find(lost.Instance))
     instance->Statements =
@@ -336,11 +336,11 @@
   if (!lost.isBorrowed())
     instances.noteSilence(now, lost.Instance);
   if (lost.Borrower)
-    Lending.lost(*lost.Borrower);
+    Lending.connectionLost(*lost.Borrower);
   if (lost.isBorrowed()) {
     PausedLenders[lost.Instance][lost.LenderIp] =
         now + Options.FailedLenderPause;
-    Told.forget(lost.Instance, lost.LenderIp);
+    ReportedWaits.forget(lost.Instance, lost.LenderIp);
   } else if (auto *known = instances.find(lost.Instance);
              known && !lost.IsReady)
     noteDirectPathLost(now, *known);
@@ -388,7 +388,7 @@
   if (work.SendCount >= MaxSends)
     return refuse(now, session, ReplyCode::Aborted,
                   "the connections to the instances broke");
-  notRun(now, session, ReplyCode::Aborted, instance);
+  retryStatement(now, session, ReplyCode::Aborted, instance);
 }
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/ConnectionPool.cpp
+++ b/src/proxy/internal/ConnectionPool.cpp
@@ -92,7 +92,8 @@
   // 46 (ConnectionPool_SkewedLoadOpensFewConnections).
   const auto &rates = Rates[instance];
   const auto rank = [&](const InstanceConnection &it) {
-    const double rate = it.Organisation ? rates.of(now, *it.Organisation) : 0;
+    const double rate =
+        it.Organisation ? rates.weightOf(now, *it.Organisation) : 0;
     return std::pair(rate, it.LastServed);
   };
   const InstanceConnection *least = nullptr;
@@ -119,7 +120,7 @@
   // NOTE: a connection that replaces another needs no further capacity at the
   // instance.
   const bool canOpen =
-      (isBorrowed || !isFull(now, instance.Id)) && open < share.Limit;
+      (isBorrowed || !isOpeningPaused(now, instance.Id)) && open < share.Limit;
   if (!canOpen && !evictFree(now, instance.Id, isBorrowed, organisation))
     return false;
   const ConnectionId id{++LastId};
@@ -153,12 +154,12 @@
 
 void ConnectionPool::close(ConnectionId id) {
   const bool isKnown = Connections.contains(id);
-  forget(id);
+  remove(id);
   if (isKnown)
     Io.closeConnection(id);
 }
 
-void ConnectionPool::forget(ConnectionId id) {
+void ConnectionPool::remove(ConnectionId id) {
   const auto it = Connections.find(id);
   if (it == Connections.end())
     return;
@@ -220,7 +221,8 @@
   return since;
 }
 
-bool ConnectionPool::isFull(TimePoint now, const InstanceId &instance) const {
+bool ConnectionPool::isOpeningPaused(TimePoint now,
+                                     const InstanceId &instance) const {
   return openingPauseLeft(now, instance) > Duration{};
 }
 
--- a/src/proxy/internal/ConnectionPool.h
+++ b/src/proxy/internal/ConnectionPool.h
@@ -62,7 +62,7 @@
   bool isOpening(const InstanceId &instance,
                  const std::optional<OrganisationId> &organisation) const;
   void close(ConnectionId id);
-  void forget(ConnectionId id);
+  void remove(ConnectionId id);
   /// Opens no new connection before \p until, since the instance refused one.
   void pauseOpeningUntil(const InstanceId &instance, TimePoint until);
   int countOf(const InstanceId &instance) const;
@@ -80,7 +80,7 @@
   /// When the oldest ready own connection was opened, if there is one.
   std::optional<TimePoint> ownConnectionSince(const InstanceId &instance) const;
   /// Whether the instance recently had no capacity for a new connection.
-  bool isFull(TimePoint now, const InstanceId &instance) const;
+  bool isOpeningPaused(TimePoint now, const InstanceId &instance) const;
   /// How long no new connection may be opened yet, after the instance had no
   /// capacity for one.
   Duration openingPauseLeft(TimePoint now, const InstanceId &instance) const;
--- a/src/proxy/internal/ConnectionSharing.cpp
+++ b/src/proxy/internal/ConnectionSharing.cpp
@@ -38,7 +38,7 @@
   // NOTE: a VM needs one connection for each organisation that it serves.
   const int organisations =
       std::max(1, static_cast<int>(Configuration.Organisations.size()));
-  return Homes.isNeeded(usableConnections(service) / organisations);
+  return Homes.isSharingNeeded(usableConnections(service) / organisations);
 }
 
 membership::HomeShare Proxy::homeShare(const std::string &service) const {
@@ -131,7 +131,7 @@
             ? std::min(own, startConnections(record.Service))
             : own + std::min(spareConnections(record.Service),
                              Pool.idleInTransactionCount(
-                                 record.Id, now - Options.RestTime));
+                                 record.Id, now - Options.IdleTransactionTime));
     // NOTE: an idle connection is the only one of its organisation.
     const int kept = Configuration.HasOrganisations ? limit : limit / 2;
     return {std::max(1, kept), limit};
@@ -162,8 +162,8 @@
   const auto share = shareOf(now, record);
   // NOTE: a VM without an own connection to a full instance borrows, since
   // other VMs have connections to it.
-  const bool mustBorrow =
-      isDirect && Pool.ownCount(record.Id) == 0 && Pool.isFull(now, record.Id);
+  const bool mustBorrow = isDirect && Pool.ownCount(record.Id) == 0 &&
+                          Pool.isOpeningPaused(now, record.Id);
   if (isDirect && !mustBorrow &&
       Pool.openOne(now, record, share, "", organisation))
     return true;
@@ -188,7 +188,7 @@
 bool Proxy::shouldRestoreOwn(TimePoint now,
                              const membership::InstanceRecord &record) const {
   return !usesHomes(record.Service) && Pool.ownCount(record.Id) == 0 &&
-         Pool.countOf(record.Id) > 0 && !Pool.isFull(now, record.Id);
+         Pool.countOf(record.Id) > 0 && !Pool.isOpeningPaused(now, record.Id);
 }
 
 std::vector<std::string>
@@ -229,11 +229,11 @@
     });
   if (lenders.empty())
     return std::nullopt;
-  if (!session || Told.isEmpty(now, record.Id))
+  if (!session || ReportedWaits.isEmpty(now, record.Id))
     return lenders.front();
   const overload::Urgency urgency{false, session->Route.Priority};
   const auto remaining = [&](const auto &it) {
-    return Told.left(now, record.Id, it, urgency);
+    return ReportedWaits.remaining(now, record.Id, it, urgency);
   };
   const auto least = std::min_element(lenders.begin(), lenders.end(),
                                       [&](const auto &a, const auto &b) {
@@ -242,7 +242,7 @@
   const bool mayAskMore =
       session->Current->FullLenderCount < Options.MaxFullLenders;
   const bool isFull = lackCapacity(now, *session, record.Id, lenders);
-  if (mayAskMore && (!isFull || Told.takeProbe(now, record.Id)))
+  if (mayAskMore && (!isFull || ReportedWaits.takeProbe(now, record.Id)))
     return *least;
   return std::nullopt;
 }
@@ -252,8 +252,8 @@
                          const std::vector<std::string> &lenders) {
   int full = 0;
   for (const auto &it : lenders) {
-    const bool isFull = !hasRoom(now, session, instance, it);
-    if (!isFull && Told.isServing(now, instance, it))
+    const bool isFull = !hasCapacity(now, session, instance, it);
+    if (!isFull && ReportedWaits.isServing(now, instance, it))
       return false;
     full += isFull;
   }
@@ -261,17 +261,18 @@
          std::min(Options.MaxFullLenders, static_cast<int>(lenders.size()));
 }
 
-bool Proxy::hasRoom(TimePoint now, const ClientSession &session,
-                    const InstanceId &instance, const std::string &lender) {
+bool Proxy::hasCapacity(TimePoint now, const ClientSession &session,
+                        const InstanceId &instance, const std::string &lender) {
   const auto facts = factsOf(now, session);
   const Duration age = now - session.Current->ArrivedAt;
   const auto remaining = [&](bool isLate) {
-    return Told.left(now, instance, lender, {isLate, facts.Priority});
+    return ReportedWaits.remaining(now, instance, lender,
+                                   {isLate, facts.Priority});
   };
   // NOTE: a lender that has reported no wait has capacity, also for late
   // statements.
-  return remaining(false) <= Patience.maxOnTimeWait(facts, age) ||
-         remaining(true) <= Patience.late(facts, age);
+  return remaining(false) <= WaitLimits.maxOnTimeWait(facts, age) ||
+         remaining(true) <= WaitLimits.maxLateWait(facts, age);
 }
 
 void Proxy::lenderRefused(TimePoint now, ConnectionId connection,
@@ -314,11 +315,13 @@
   ++session.Current->FullLenderCount;
   // NOTE: the lender compared the wait with the statement's limits, which were
   // slightly longer then than now.
-  Told.note(
+  ReportedWaits.note(
       now, instance, lender, {false, facts.Priority},
-      std::max(expectedWait, Patience.maxOnTimeWait(facts, age) + Duration(1)));
-  Told.note(now, instance, lender, {true, facts.Priority},
-            std::max(expectedWait, Patience.late(facts, age) + Duration(1)));
+      std::max(expectedWait,
+               WaitLimits.maxOnTimeWait(facts, age) + Duration(1)));
+  ReportedWaits.note(
+      now, instance, lender, {true, facts.Priority},
+      std::max(expectedWait, WaitLimits.maxLateWait(facts, age) + Duration(1)));
 }
 
 std::vector<InstanceId> Proxy::targetsOf(TimePoint now,
@@ -336,7 +339,7 @@
 std::optional<Duration>
 Proxy::reportedWaitTooLong(TimePoint now, const ClientSession &session) {
   std::optional<Duration> least;
-  if (Told.hasNoReports())
+  if (ReportedWaits.hasNoReports())
     return least;
   // NOTE: the statement waits for a new primary, not for a free connection.
   if (session.Current->PrimaryOnly &&
@@ -363,7 +366,7 @@
       Pool.ownCount(record.Id) == 0 &&
       (instance.IsDirectPathLost ||
        (usesHomes(record.Service) && !isHomeFor(now, record, organisation)));
-  if (!mustBorrow || Told.isEmpty(now, record.Id))
+  if (!mustBorrow || ReportedWaits.isEmpty(now, record.Id))
     return std::nullopt;
   const auto lenders = lendersOf(now, record, organisation);
   const bool hasAskedEnough =
@@ -373,9 +376,9 @@
     return std::nullopt;
   std::optional<Duration> least;
   for (const auto &it : lenders)
-    if (!hasRoom(now, session, record.Id, it)) {
-      const Duration remaining =
-          Told.left(now, record.Id, it, {false, session.Route.Priority});
+    if (!hasCapacity(now, session, record.Id, it)) {
+      const Duration remaining = ReportedWaits.remaining(
+          now, record.Id, it, {false, session.Route.Priority});
       least = std::min(least.value_or(remaining), remaining);
     }
   return least;
@@ -384,7 +387,7 @@
 void Proxy::refuseEarly(TimePoint now, ClientSession &session, Duration wait) {
   // NOTE: a reported wait isn't valid for longer, so the capacity after that is
   // unknown.
-  const Duration known = std::min(wait, Told.maxValidity());
+  const Duration known = std::min(wait, ReportedWaits.maxValidity());
   const Duration pause =
       overload::retryDelay(known, session.Current->Statement.Id);
   Log.refusedForCapacity(true);
@@ -430,7 +433,7 @@
     releasePinned(now, *owner);
   else
     abandonStatement(now, *owner);
-  notRun(now, *owner, ReplyCode::TimedOut, instance);
+  retryStatement(now, *owner, ReplyCode::TimedOut, instance);
 }
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/Dispatch.cpp
+++ b/src/proxy/internal/Dispatch.cpp
@@ -26,7 +26,7 @@
 void Proxy::dispatch(TimePoint now, ClientSession &session) {
   auto &work = *session.Current;
   if (work.NotBefore > now)
-    return wait(session, work.NotBefore);
+    return addToQueue(session, work.NotBefore);
   work.IsShed = false;
   chooseTargets(session);
   if (session.Pinned) {
@@ -42,7 +42,7 @@
     return;
   if (const auto reported = reportedWaitTooLong(now, session))
     return refuseEarly(now, session, *reported);
-  wait(session, work.NotBefore);
+  addToQueue(session, work.NotBefore);
 }
 
 void Proxy::chooseTargets(ClientSession &session) {
@@ -183,7 +183,7 @@
   auto &instances = tracker(service);
   const auto primary = instances.primary(now);
   const auto *instance = primary ? instances.find(*primary) : nullptr;
-  const bool hasQueue = Waiting[service].size() > 1;
+  const bool hasQueue = StatementQueues[service].size() > 1;
   return instance &&
          Shedder.shouldShed(now, service, instance->Running.congestion(),
                             hasQueue);
--- a/src/proxy/internal/InstanceConnection.h
+++ b/src/proxy/internal/InstanceConnection.h
@@ -86,7 +86,7 @@
         }));
   }
   /// Detaches the client, which no longer waits for the commands in Sent.
-  void giveUp() {
+  void abandon() {
     Owner.reset();
     IsPinned = false;
     IsAbandoned = true;
--- a/src/proxy/internal/InstanceTracker.h
+++ b/src/proxy/internal/InstanceTracker.h
@@ -38,7 +38,7 @@
 
 /// The most statements that one VM runs at an instance at once; the limit falls
 /// as the instance's answers slow down.
-constexpr int MostRunning = 4;
+constexpr int MaxRunningStatements = 4;
 
 struct TrackedInstance {
   membership::InstanceRecord Record;
@@ -59,7 +59,7 @@
   /// connection, begin or roll back take none of the instance's slots and don't
   /// count.
   int Statements = 0;
-  InstanceConcurrencyLimit Running{MostRunning};
+  InstanceConcurrencyLimit Running{MaxRunningStatements};
   /// Smoothed time from sending to answer.
   Duration ServiceTime = milliseconds(10);
   /// Not chosen for reads before this time, after it failed to answer.
--- a/src/proxy/internal/LendablePool.cpp
+++ b/src/proxy/internal/LendablePool.cpp
@@ -40,13 +40,15 @@
   // NOTE: an active client continues its transaction within a few statement
   // times, and ends it.
   return Pool.ownCount(instance) >
-         Pool.idleInTransactionCount(instance, now - Options.RestTime);
+         Pool.idleInTransactionCount(instance,
+                                     now - Options.IdleTransactionTime);
 }
 
 int Proxy::lendableConnections(TimePoint now, const std::string &service,
                                const InstanceId &instance) {
-  const int n = Pool.ownCount(instance) -
-                Pool.idleInTransactionCount(instance, now - Options.RestTime);
+  const int n =
+      Pool.ownCount(instance) -
+      Pool.idleInTransactionCount(instance, now - Options.IdleTransactionTime);
   const auto *known = tracker(service).find(instance);
   return std::max(1, known ? std::min(n, known->Running.limit()) : n);
 }
--- a/src/proxy/internal/Lender.cpp
+++ b/src/proxy/internal/Lender.cpp
@@ -41,7 +41,8 @@
 
 } // namespace
 
-void Lender::ask(TimePoint now, const BorrowKey &key, BorrowRequest request) {
+void Lender::request(TimePoint now, const BorrowKey &key,
+                     BorrowRequest request) {
   if (request.IsFirst)
     end(now, key);
   const auto found = Borrows.find(key);
@@ -72,7 +73,7 @@
   if (queue.size() >= Options.MaxQueueLength)
     return refuse(now, key, LendingEnd::Full);
   queue.push_back(key);
-  pump(now, service, instance);
+  serveQueue(now, service, instance);
   if (isWaiting(key))
     refuseOrMarkLate(now, key);
 }
@@ -108,16 +109,16 @@
     return refuse(now, key, LendingEnd::Full);
   // NOTE: while the wait can't be estimated, the borrow keeps the queue limit,
   // so that the borrower can soon ask another home.
-  const Duration held = Loads[borrow.Instance].held();
-  if (!hasObjective(needs) || held == Duration{})
+  const Duration holdTime = Loads[borrow.Instance].holdTime();
+  if (!hasObjective(needs) || holdTime == Duration{})
     return;
   const auto facts = factsOf(needs.Rank);
   const Duration age = now - needs.Rank.ArrivedAt;
   borrow.QueueDeadline = needs.Rank.ArrivedAt + WaitLimits.maxLateAge(facts);
   if (expectedWait(now, key, false) <=
-      WaitLimits.maxOnTimeWait(facts, age, held))
+      WaitLimits.maxOnTimeWait(facts, age, holdTime))
     return;
-  if (expectedWait(now, key, true) > WaitLimits.late(facts, age))
+  if (expectedWait(now, key, true) > WaitLimits.maxLateWait(facts, age))
     return refuse(now, key, LendingEnd::Full);
   borrow.IsLate = true;
   // NOTE: the serving order puts those that are past their objectives last.
@@ -179,13 +180,14 @@
       Pool.lendingCapacity(now, borrow.Service, borrow.Instance);
   const auto queue = Queues.find(borrow.Instance);
   const auto load = Loads.find(borrow.Instance);
-  const Duration held = load == Loads.end() ? Duration{} : load->second.held();
+  const Duration holdTime =
+      load == Loads.end() ? Duration{} : load->second.holdTime();
   Log.decision(absl::StrCat(
-      "event=lend_refused borrower=", key.Ip, " use=", key.Use, " instance=",
+      "event=lend_refused borrower=", key.Ip, " use=", key.Number, " instance=",
       borrow.Instance.str(), " reason=", std::string(nameOf(reason)),
       " waited_ms=", toMilliseconds(now - borrow.ArrivedAt),
       " expected_wait_ms=", toMilliseconds(wait),
-      " held_ms=", toMilliseconds(held),
+      " held_ms=", toMilliseconds(holdTime),
       " line=", queue == Queues.end() ? 0 : queue->second.size(),
       " own=", capacity.OwnConnections, " opening=", capacity.Opening,
       " working=", capacity.Busy, " resting=", capacity.IdleInTransaction,
@@ -231,7 +233,7 @@
     Pool.takeBack(now, connection);
 }
 
-void Lender::lost(const BorrowKey &key) {
+void Lender::connectionLost(const BorrowKey &key) {
   if (Borrows.erase(key) > 0)
     Io.endBorrower(key, LendingEnd::Lost, {});
 }
@@ -264,8 +266,8 @@
   send(now, borrow, *request);
 }
 
-void Lender::pump(TimePoint now, const std::string &service,
-                  const InstanceId &instance) {
+void Lender::serveQueue(TimePoint now, const std::string &service,
+                        const InstanceId &instance) {
   const auto queue = Queues.find(instance);
   if (queue == Queues.end())
     return;
@@ -307,7 +309,7 @@
   std::string text;
   for (auto it = Borrows.lower_bound({ip, 0});
        it != Borrows.end() && it->first.Ip == ip; ++it)
-    absl::StrAppend(&text, text.empty() ? "" : ",", it->first.Use,
+    absl::StrAppend(&text, text.empty() ? "" : ",", it->first.Number,
                     it->second.BoundConnection ? "" : "(waiting)");
   return text;
 }
@@ -325,7 +327,7 @@
       continue;
     borrow.IsSilenceReported = true;
     Log.decision(absl::StrCat("event=lend_silent borrower=", key.Ip, " use=",
-                              key.Use, " instance=", borrow.Instance.str()));
+                              key.Number, " instance=", borrow.Instance.str()));
     Io.endBorrower(key, LendingEnd::Silent, {});
   }
 }
@@ -378,7 +380,7 @@
   for (const auto &[key, reason] : refused)
     refuse(now, key, reason);
   for (const auto &[service, instance] : waiting)
-    pump(now, service, instance);
+    serveQueue(now, service, instance);
 }
 
 } // namespace stepledge::proxy
--- a/src/proxy/internal/Lender.h
+++ b/src/proxy/internal/Lender.h
@@ -104,7 +104,7 @@
          scheduling::QueueScheduler &scheduler, LenderOptions options = {})
       : Pool(pool), Io(io), Log(log), Scheduler(scheduler), Options(options) {}
 
-  void ask(TimePoint now, const BorrowKey &key, BorrowRequest request);
+  void request(TimePoint now, const BorrowKey &key, BorrowRequest request);
   /// The borrower ends the borrow.
   void end(TimePoint now, const BorrowKey &key);
   /// The borrower is gone; ends all of its borrows.
@@ -114,10 +114,10 @@
   void answered(TimePoint now, InstanceConnection &connection, Purpose reason,
                 const StatementReply &reply);
   /// A lent connection was lost.
-  void lost(const BorrowKey &key);
+  void connectionLost(const BorrowKey &key);
   /// Serves the instance's queue, since a connection may be free.
-  void pump(TimePoint now, const std::string &service,
-            const InstanceId &instance);
+  void serveQueue(TimePoint now, const std::string &service,
+                  const InstanceId &instance);
   void tick(TimePoint now);
   /// Refuses new borrows; existing ones continue.
   void stop() { IsStopping = true; }
--- a/src/proxy/internal/Maintenance.cpp
+++ b/src/proxy/internal/Maintenance.cpp
@@ -34,7 +34,7 @@
   probePrimaries(now);
   restoreOwnConnections(now);
   std::vector<std::string> waiting;
-  for (const auto &[service, clients] : Waiting)
+  for (const auto &[service, clients] : StatementQueues)
     if (!clients.empty())
       waiting.push_back(service);
   for (const auto &service : waiting)
@@ -55,7 +55,7 @@
 int Proxy::outlierInstances() const {
   int n = 0;
   for (const auto &[service, instances] : Trackers)
-    n += instances->outliers().heldBack();
+    n += instances->outliers().outlierCount();
   return n;
 }
 
@@ -124,7 +124,7 @@
 }
 
 Duration Proxy::queueLimit(TimePoint now, const ClientSession &session) {
-  return Patience.limit(factsOf(now, session));
+  return WaitLimits.maxWait(factsOf(now, session));
 }
 
 void Proxy::expireWork(TimePoint now, ClientSession &session) {
@@ -167,7 +167,7 @@
   // NOTE: the commit was sent and may succeed, so no rollback may follow it.
   const auto pinned = std::exchange(session.Pinned, std::nullopt);
   if (auto *connection = Pool.find(*pinned))
-    connection->giveUp();
+    connection->abandon();
   session.State = SessionState::Idle;
   session.Mode = TransactionMode::None;
   refuse(now, session,
@@ -214,8 +214,8 @@
   const auto &work = *session.Current;
   const auto usual = StatementTimes.usual(session.Route);
   // NOTE: where reads wait, the siblings have no capacity for one more.
-  const auto waiting = Waiting.find(session.Route.Service);
-  if (waiting != Waiting.end() && !waiting->second.empty())
+  const auto waiting = StatementQueues.find(session.Route.Service);
+  if (waiting != StatementQueues.end() && !waiting->second.empty())
     return false;
   if (!isSharedRead(session) || !work.Minimum || !usual ||
       now - work.SentAt < EarlyMoveFactor * *usual)
@@ -267,7 +267,7 @@
     releasePinned(now, session);
   else
     abandonStatement(now, session);
-  notRun(now, session, ReplyCode::TimedOut, slow);
+  retryStatement(now, session, ReplyCode::TimedOut, slow);
 }
 
 void Proxy::probePrimaries(TimePoint now) {
--- a/src/proxy/internal/Sending.cpp
+++ b/src/proxy/internal/Sending.cpp
@@ -129,7 +129,7 @@
   session.Pinned.reset();
   if (!connection)
     return;
-  connection->giveUp();
+  connection->abandon();
   rollBack(now, *connection);
 }
 
@@ -164,7 +164,7 @@
     return;
   const std::string service = connection.Service;
   const InstanceId instance = connection.Instance;
-  Lending.pump(now, service, instance);
+  Lending.serveQueue(now, service, instance);
   dispatchQueue(now, service);
 }
 
--- a/src/proxy/internal/ServiceWatch.cpp
+++ b/src/proxy/internal/ServiceWatch.cpp
@@ -34,7 +34,7 @@
   ReviewAt = {};
 }
 
-void ServiceWatch::noteUse(TimePoint now, const std::string &service) {
+void ServiceWatch::noteStatement(TimePoint now, const std::string &service) {
   if (Services.size() <= Options.MaxAlwaysWatched)
     return;
   const double before = recentStatements(now, service);
--- a/src/proxy/internal/ServiceWatch.h
+++ b/src/proxy/internal/ServiceWatch.h
@@ -47,7 +47,7 @@
   void setEntries(const std::vector<membership::EntryVm> &entries);
   void addService(const std::string &service);
   /// Records that a client's statement needs \p service.
-  void noteUse(TimePoint now, const std::string &service);
+  void noteStatement(TimePoint now, const std::string &service);
   const std::set<std::string> &watched(TimePoint now);
 
 private:
--- a/src/proxy/internal/StatementQueue.cpp
+++ b/src/proxy/internal/StatementQueue.cpp
@@ -11,19 +11,19 @@
 
 namespace stepledge::proxy {
 
-void Proxy::wait(ClientSession &session, TimePoint notBefore) {
+void Proxy::addToQueue(ClientSession &session, TimePoint notBefore) {
   auto &work = *session.Current;
   work.Stage = StatementStage::Waiting;
   work.Connection.reset();
   work.NotBefore = notBefore;
-  Waiting[session.Route.Service].insert(
+  StatementQueues[session.Route.Service].insert(
       {session.Route.Priority, work.ArrivedAt, session.Id});
 }
 
 void Proxy::removeFromQueue(ClientSession &session) {
   if (!session.Current)
     return;
-  Waiting[session.Route.Service].erase(
+  StatementQueues[session.Route.Service].erase(
       {session.Route.Priority, session.Current->ArrivedAt, session.Id});
 }
 
@@ -34,8 +34,8 @@
 
 std::vector<ClientId> Proxy::servingOrder(TimePoint now,
                                           const std::string &service) {
-  const auto queue = Waiting.find(service);
-  if (queue == Waiting.end())
+  const auto queue = StatementQueues.find(service);
+  if (queue == StatementQueues.end())
     return {};
   std::vector<std::pair<scheduling::WaitRank, ClientId>> waiters;
   waiters.reserve(queue->second.size());
@@ -43,7 +43,7 @@
     if (const auto found = Sessions.find(it.Client);
         found != Sessions.end() && found->second.Current)
       waiters.emplace_back(rankOf(found->second), it.Client);
-  return Line.inOrder(now, {service, {}}, std::move(waiters));
+  return Scheduler.inOrder(now, {service, {}}, std::move(waiters));
 }
 
 void Proxy::noteSlotTime(TimePoint now, const InstanceConnection &connection,
@@ -52,16 +52,16 @@
     return;
   const auto &service = connection.Service;
   if (!connection.isBorrowed())
-    Line.noteUse(now, {service, connection.Instance}, *connection.Organisation,
-                 took);
+    Scheduler.noteUse(now, {service, connection.Instance},
+                      *connection.Organisation, took);
   if (connection.Borrower)
     return;
   // NOTE: the time on a borrowed connection includes the wait in the lender's
   // queue, which took no slot.
   const auto *instance = tracker(service).find(connection.Instance);
   const Duration usual = instance ? instance->ServiceTime : took;
-  Line.noteUse(now, {service, {}}, *connection.Organisation,
-               connection.isBorrowed() ? std::min(took, usual) : took);
+  Scheduler.noteUse(now, {service, {}}, *connection.Organisation,
+                    connection.isBorrowed() ? std::min(took, usual) : took);
 }
 
 void Proxy::dispatchQueue(TimePoint now, const std::string &service) {
--- a/src/proxy/internal/UsageRates.cpp
+++ b/src/proxy/internal/UsageRates.cpp
@@ -34,7 +34,8 @@
     });
 }
 
-double UsageRates::of(TimePoint now, const OrganisationId &organisation) const {
+double UsageRates::weightOf(TimePoint now,
+                            const OrganisationId &organisation) const {
   const auto it = Counts.find(organisation);
   return it == Counts.end() ? 0 : weightAt(now, it->second);
 }
--- a/src/proxy/internal/UsageRates.h
+++ b/src/proxy/internal/UsageRates.h
@@ -19,7 +19,7 @@
   /// Counts one use of \p organisation: a statement or transaction.
   void note(TimePoint now, const OrganisationId &organisation);
   /// The organisation's uses, which decay exponentially with their age.
-  double of(TimePoint now, const OrganisationId &organisation) const;
+  double weightOf(TimePoint now, const OrganisationId &organisation) const;
   std::size_t size() const { return Counts.size(); }
 
 private:
--- a/src/proxy/tests/ConnectionPoolTest.cpp
+++ b/src/proxy/tests/ConnectionPoolTest.cpp
@@ -163,5 +163,6 @@
     rates.note(now, organisation(i));
   }
   CHECK(rates.size() <= 100);
-  CHECK(rates.of(now, organisation(999)) > rates.of(now, organisation(990)));
+  CHECK(rates.weightOf(now, organisation(999)) >
+        rates.weightOf(now, organisation(990)));
 }
--- a/src/proxy/tests/FakeIo.h
+++ b/src/proxy/tests/FakeIo.h
@@ -55,15 +55,15 @@
   void answerBorrower(const BorrowKey &key,
                       const std::vector<StatementReply> &replies) override {
     for (const auto &it : replies) {
-      Lent[key].push_back(it);
-      Told.push_back("reply");
+      BorrowerReplies[key].push_back(it);
+      ReportOrder.push_back("reply");
     }
   }
   void endBorrower(const BorrowKey &key, LendingEnd reason,
                    Duration expectedWait) override {
-    Ended[key] = reason;
+    BorrowerEnds[key] = reason;
     ReportedWaits[key] = expectedWait;
-    Told.push_back("end");
+    ReportOrder.push_back("end");
   }
 
   std::set<std::string> ConnectedLenders;
@@ -78,11 +78,11 @@
   /// The priorities of the statements refused by quota.
   std::vector<int> RefusedByQuota;
   /// The replies and reports sent to borrowers.
-  std::map<BorrowKey, std::vector<StatementReply>> Lent;
-  std::map<BorrowKey, LendingEnd> Ended;
+  std::map<BorrowKey, std::vector<StatementReply>> BorrowerReplies;
+  std::map<BorrowKey, LendingEnd> BorrowerEnds;
   std::map<BorrowKey, Duration> ReportedWaits;
   /// The kinds of these messages, in the order of sending.
-  std::vector<std::string> Told;
+  std::vector<std::string> ReportOrder;
 };
 
 } // namespace stepledge::proxy::tests
--- a/src/proxy/tests/LenderTest.cpp
+++ b/src/proxy/tests/LenderTest.cpp
@@ -108,7 +108,7 @@
     command.Kind = kind;
     command.Id = id;
     request.Commands.push_back(command);
-    Lending.ask(Now, {"10.0.0.9", number}, request);
+    Lending.request(Now, {"10.0.0.9", number}, request);
   }
 
   void askWithObjective(std::uint64_t number, int priority, Duration objective,
@@ -121,7 +121,7 @@
     request.Commands.back().Kind = CommandKind::ClientText;
     request.Commands.back().Id = std::to_string(number);
     request.Needs.Rank = {priority, objective, Now - age, {}};
-    Lending.ask(Now, {"10.0.0.9", number}, request);
+    Lending.request(Now, {"10.0.0.9", number}, request);
   }
 
   /// Runs borrows of 40 ms each one after the other, then removes the
@@ -138,7 +138,7 @@
   }
 
   bool isRefused(std::uint64_t number) {
-    return Io.Ended.contains({"10.0.0.9", number});
+    return Io.BorrowerEnds.contains({"10.0.0.9", number});
   }
 
   void answer(SessionState state) {
@@ -180,11 +180,11 @@
   it.ask(1, true, "", CommandKind::Begin);
   it.answer(SessionState::InTransaction);
   it.Pool.Connection.Borrower.reset();
-  it.Lending.lost({"10.0.0.9", 1});
+  it.Lending.connectionLost({"10.0.0.9", 1});
   // The commit was on its way when the connection broke.
   it.ask(1, false, "commit");
   CHECK(it.Pool.Sent.size() == 1);
-  CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Lost);
+  CHECK(it.Io.BorrowerEnds[{"10.0.0.9", 1}] == LendingEnd::Lost);
 }
 
 TEST_CASE("Lender_ReportsASilentInstanceToItsBorrower") {
@@ -194,17 +194,17 @@
   it.Pool.IsReachable = false;
   it.Lending.tick(it.Now);
   // No answer is pending, so the borrower doesn't wait.
-  CHECK(it.Io.Ended.empty());
+  CHECK(it.Io.BorrowerEnds.empty());
   it.ask(1, false, "a");
   it.Lending.tick(it.Now);
-  CHECK(it.Io.Ended.empty());
+  CHECK(it.Io.BorrowerEnds.empty());
   it.Now += LenderOptions().SilenceTimeout;
   it.Lending.tick(it.Now);
-  CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Silent);
+  CHECK(it.Io.BorrowerEnds[{"10.0.0.9", 1}] == LendingEnd::Silent);
   // An answer that still arrives is passed on to the borrower.
-  const auto answers = it.Io.Lent[{"10.0.0.9", 1}].size();
+  const auto answers = it.Io.BorrowerReplies[{"10.0.0.9", 1}].size();
   it.answer(SessionState::InTransaction);
-  CHECK(it.Io.Lent[{"10.0.0.9", 1}].size() == answers + 1);
+  CHECK(it.Io.BorrowerReplies[{"10.0.0.9", 1}].size() == answers + 1);
 }
 
 TEST_CASE("Lender_RefusesUnsentCommandsAsNotRun") {
@@ -212,17 +212,17 @@
   it.Pool.HasConnection = false;
   it.ask(1, true, "a");
   it.Lending.tick(it.Now + milliseconds(100));
-  CHECK(it.Io.Lent.empty());
+  CHECK(it.Io.BorrowerReplies.empty());
   it.Lending.tick(it.Now + milliseconds(200));
-  REQUIRE(it.Io.Lent[{"10.0.0.9", 1}].size() == 1);
-  CHECK(it.Io.Lent[{"10.0.0.9", 1}].front().Code == ReplyCode::Busy);
-  CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Full);
+  REQUIRE(it.Io.BorrowerReplies[{"10.0.0.9", 1}].size() == 1);
+  CHECK(it.Io.BorrowerReplies[{"10.0.0.9", 1}].front().Code == ReplyCode::Busy);
+  CHECK(it.Io.BorrowerEnds[{"10.0.0.9", 1}] == LendingEnd::Full);
   it.Pool.IsReachable = false;
   it.ask(2, true, "b");
-  CHECK(it.Io.Ended[{"10.0.0.9", 2}] == LendingEnd::Unreachable);
+  CHECK(it.Io.BorrowerEnds[{"10.0.0.9", 2}] == LendingEnd::Unreachable);
   it.Lending.stop();
   it.ask(3, true, "c");
-  CHECK(it.Io.Ended[{"10.0.0.9", 3}] == LendingEnd::Stopping);
+  CHECK(it.Io.BorrowerEnds[{"10.0.0.9", 3}] == LendingEnd::Stopping);
   CHECK(it.Pool.Sent.empty());
 }
 
@@ -248,7 +248,7 @@
   // The connection is free again while the first request is still in the queue.
   it.Pool.Connection.Borrower.reset();
   it.Pool.Connection.Sent.clear();
-  it.Lending.pump(it.Now, "db", InstanceId("i"));
+  it.Lending.serveQueue(it.Now, "db", InstanceId("i"));
   CHECK(it.Pool.Sent.size() == 1);
 }
 
@@ -258,7 +258,7 @@
   it.answer(SessionState::InTransaction);
   it.Pool.IsFreeExpected = false;
   it.ask(2, true, "b");
-  CHECK(it.Io.Ended[{"10.0.0.9", 2}] == LendingEnd::Full);
+  CHECK(it.Io.BorrowerEnds[{"10.0.0.9", 2}] == LendingEnd::Full);
 }
 
 // Guards against a reported wait that was never measured: borrowers refused
@@ -268,7 +268,7 @@
   it.learnHoldTime();
   it.Pool.IsFreeExpected = false;
   it.askWithObjective(1, 1, milliseconds(250));
-  CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Full);
+  CHECK(it.Io.BorrowerEnds[{"10.0.0.9", 1}] == LendingEnd::Full);
   CHECK(it.Io.ReportedWaits[{"10.0.0.9", 1}] == Duration{});
 }
 
@@ -283,12 +283,12 @@
     request.IsFirst = true;
     request.Needs.NeedsFreeNow = needsFreeNow;
     request.Commands.emplace_back();
-    it.Lending.ask(it.Now, {"10.0.0.9", number}, request);
+    it.Lending.request(it.Now, {"10.0.0.9", number}, request);
   };
   ask(1, true);
-  CHECK(it.Io.Ended[{"10.0.0.9", 1}] == LendingEnd::Full);
+  CHECK(it.Io.BorrowerEnds[{"10.0.0.9", 1}] == LendingEnd::Full);
   ask(2, false);
-  CHECK(!it.Io.Ended.contains({"10.0.0.9", 2}));
+  CHECK(!it.Io.BorrowerEnds.contains({"10.0.0.9", 2}));
 }
 
 TEST_CASE("Lender_SendsTheReasonBeforeTheReplies") {
@@ -296,7 +296,7 @@
   it.Pool.IsReachable = false;
   it.ask(1, true, "a");
   // A borrower that received the replies first would ask this lender again.
-  CHECK(it.Io.Told == std::vector<std::string>{"end", "reply"});
+  CHECK(it.Io.ReportOrder == std::vector<std::string>{"end", "reply"});
 }
 
 TEST_CASE("Lender_ServesTheOrganisationUnderItsFairShareFirst") {
@@ -315,12 +315,12 @@
     request.Commands.back().Id = organisation;
     request.Needs.Rank = {1, milliseconds(150), it.Now,
                           OrganisationId(organisation)};
-    it.Lending.ask(it.Now, {"10.0.0.9", number}, request);
+    it.Lending.request(it.Now, {"10.0.0.9", number}, request);
   };
   ask(1, "red");
   ask(2, "blue");
   it.Pool.HasConnection = true;
-  it.Lending.pump(it.Now, "db", InstanceId("i"));
+  it.Lending.serveQueue(it.Now, "db", InstanceId("i"));
   CHECK(it.Pool.Sent.back().Id == "blue");
 }
 
@@ -336,7 +336,7 @@
     request.Commands.emplace_back();
     request.Commands.back().Id = std::to_string(number);
     request.Needs.Rank = {priority, objective, it.Now - age, {}};
-    it.Lending.ask(it.Now, {"10.0.0.9", number}, request);
+    it.Lending.request(it.Now, {"10.0.0.9", number}, request);
   };
   ask(1, 2, milliseconds(500), milliseconds(140));
   ask(2, 2, milliseconds(250), milliseconds(20));
@@ -345,7 +345,7 @@
   it.Pool.HasConnection = true;
   std::string order;
   for (int i = 0; i < 4; ++i) {
-    it.Lending.pump(it.Now, "db", InstanceId("i"));
+    it.Lending.serveQueue(it.Now, "db", InstanceId("i"));
     order += it.Pool.Sent.back().Id;
     it.answer(SessionState::Idle);
   }
@@ -366,7 +366,7 @@
   // ones.
   CHECK(number > 4);
   CHECK(number < 14);
-  CHECK(it.Io.Ended[{"10.0.0.9", number}] == LendingEnd::Full);
+  CHECK(it.Io.BorrowerEnds[{"10.0.0.9", number}] == LendingEnd::Full);
   CHECK(it.Io.ReportedWaits[{"10.0.0.9", number}] > milliseconds(100));
   CHECK(it.Io.Lines.back().find("expected_wait_ms=") != std::string::npos);
   // A borrow with a longer objective is still queued.
@@ -409,12 +409,12 @@
   it.Pool.UsableConnections = 8;
   for (std::uint64_t number = 1; number <= 16; ++number)
     it.askWithObjective(number, 0, milliseconds(240));
-  REQUIRE(it.Io.Ended.empty());
+  REQUIRE(it.Io.BorrowerEnds.empty());
   // All connections but one are lost.
   it.Pool.UsableConnections = 1;
   it.Lending.tick(it.Now);
-  CHECK(it.Io.Ended.size() > 2);
-  CHECK(it.Io.Ended.size() < 14);
+  CHECK(it.Io.BorrowerEnds.size() > 2);
+  CHECK(it.Io.BorrowerEnds.size() < 14);
 }
 
 TEST_CASE("Lender_BorrowWithoutAnObjectiveWaitsForTheQueueTimeout") {
@@ -422,11 +422,11 @@
   it.learnHoldTime();
   for (std::uint64_t number = 1; number <= 40; ++number)
     it.askWithObjective(number, 0, {});
-  CHECK(it.Io.Ended.empty());
+  CHECK(it.Io.BorrowerEnds.empty());
   it.Lending.tick(it.Now + LenderOptions().QueueTimeout);
-  CHECK(it.Io.Ended.empty());
+  CHECK(it.Io.BorrowerEnds.empty());
   it.Lending.tick(it.Now + LenderOptions().QueueTimeout + milliseconds(1));
-  CHECK(it.Io.Ended.size() == 40);
+  CHECK(it.Io.BorrowerEnds.size() == 40);
 }
 
 TEST_CASE("Lender_ReportsNoWaitWithoutAnEstimate") {
@@ -435,8 +435,8 @@
   for (std::uint64_t number = 1; number <= 20; ++number)
     it.askWithObjective(number, 0, milliseconds(1200));
   it.Lending.tick(it.Now + LenderOptions().QueueTimeout);
-  CHECK(it.Io.Ended.empty());
+  CHECK(it.Io.BorrowerEnds.empty());
   it.Lending.tick(it.Now + LenderOptions().QueueTimeout + milliseconds(1));
-  REQUIRE(it.Io.Ended.size() == 20);
+  REQUIRE(it.Io.BorrowerEnds.size() == 20);
   CHECK(it.Io.ReportedWaits[{"10.0.0.9", 1}] == Duration{});
 }
--- a/src/proxy/tests/OrganisationTest.cpp
+++ b/src/proxy/tests/OrganisationTest.cpp
@@ -175,7 +175,7 @@
   command.Id = "b1";
   command.Text = "WRITE b 1";
   request.Commands = {command};
-  it.Core.lender().ask(it.Now, {"10.9.9.9", 1}, request);
+  it.Core.lender().request(it.Now, {"10.9.9.9", 1}, request);
   it.advance(milliseconds(10));
   const auto carrier = it.carrierOf("WRITE b 1");
   REQUIRE(carrier);
@@ -284,7 +284,7 @@
   request.Organisation = OrganisationId("blue");
   request.IsFirst = true;
   request.Commands = {InstanceCommand()};
-  it.Core.lender().ask(it.Now, {"10.9.9.9", number}, request);
+  it.Core.lender().request(it.Now, {"10.9.9.9", number}, request);
   return it.ownOpen("p") > 0;
 }
 
@@ -325,5 +325,5 @@
   it.answer(*carrier, it.replyAt(markOf(3, 101)));
   CHECK(it.carrierOf("WRITE blue"));
   CHECK(!it.carrierOf("WRITE red 2"));
-  CHECK(it.Core.organisationsOverShare(it.Now) == 1);
+  CHECK(it.Core.deferredOrganisations(it.Now) == 1);
 }
--- a/src/proxy/tests/ProxyBorrowingTest.cpp
+++ b/src/proxy/tests/ProxyBorrowingTest.cpp
@@ -215,7 +215,7 @@
   Fixture it;
   it.warmUp();
   borrowFromConnected(it);
-  for (int i = 0; i < MostRunning; ++i) {
+  for (int i = 0; i < MaxRunningStatements; ++i) {
     const std::string text = "WRITE x " + std::to_string(i);
     it.ask(it.connect("current"), StatementKind::Write, text.c_str());
     const auto carrier = it.carrierOf(text);
@@ -230,7 +230,7 @@
   request.Commands.back().Kind = CommandKind::ClientText;
   request.Commands.back().Id = "lent";
   request.Commands.back().Text = "WRITE x lent";
-  it.Core.lender().ask(it.Now, {"10.9.9.6", 1}, request);
+  it.Core.lender().request(it.Now, {"10.9.9.6", 1}, request);
   for (int i = 0; i < 5; ++i)
     it.advance(milliseconds(10));
   const auto carrier = it.carrierOf("WRITE x lent");
@@ -308,11 +308,11 @@
   it.Core.lenderRefused(it.Now, *carrier, LendingEnd::Unreachable);
   it.answer(*carrier, Fixture::refusal(ReplyCode::Busy));
   it.Now += milliseconds(700);
-  const auto sights = it.Core.primaryObservations(it.Now);
-  REQUIRE(sights.size() == 1);
+  const auto observations = it.Core.primaryObservations(it.Now);
+  REQUIRE(observations.size() == 1);
   // The control VMs replace a primary that most VMs report silent for this
   // long.
-  CHECK(sights.front().SilentFor >= milliseconds(700));
+  CHECK(observations.front().SilentFor >= milliseconds(700));
 }
 
 namespace {
--- a/src/proxy/tests/ProxyPrimaryTest.cpp
+++ b/src/proxy/tests/ProxyPrimaryTest.cpp
@@ -114,6 +114,6 @@
   request.Instance = InstanceId("p");
   request.Commands = {InstanceCommand()};
   request.IsFirst = true;
-  it.Core.lender().ask(it.Now, {"10.9.9.9", 1}, request);
-  CHECK(it.Io.Ended[{"10.9.9.9", 1}] == LendingEnd::Unreachable);
+  it.Core.lender().request(it.Now, {"10.9.9.9", 1}, request);
+  CHECK(it.Io.BorrowerEnds[{"10.9.9.9", 1}] == LendingEnd::Unreachable);
 }
--- a/src/proxy/tests/ProxyScheduleTest.cpp
+++ b/src/proxy/tests/ProxyScheduleTest.cpp
@@ -90,7 +90,7 @@
       Group.setLag(instance, milliseconds(static_cast<int>(pick(2500))));
       break;
     case 5:
-      Group.silence(instance, true);
+      Group.setSilent(instance, true);
       break;
     case 6:
       Group.setBusyShare(0.2);
@@ -105,7 +105,7 @@
     Group.setBusyShare(0.0);
     for (std::size_t i = 0; i < Group.size(); ++i) {
       Group.restart(i);
-      Group.silence(i, false);
+      Group.setSilent(i, false);
       Group.setLag(i, milliseconds(30));
     }
     Group.announceAll();
--- a/src/proxy/tests/ServiceWatchTest.cpp
+++ b/src/proxy/tests/ServiceWatchTest.cpp
@@ -66,12 +66,12 @@
   for (int i = 0; unused.empty(); ++i)
     if (!before.contains("s" + std::to_string(i)))
       unused = "s" + std::to_string(i);
-  watch.noteUse(Start, unused);
+  watch.noteStatement(Start, unused);
   CHECK(watch.watched(Start).contains(unused));
   TimePoint now = Start;
   for (int i = 0; i < 20; ++i) {
     now += milliseconds(500);
-    watch.noteUse(now, unused);
+    watch.noteStatement(now, unused);
     CHECK(watch.watched(now).contains(unused));
   }
   now += milliseconds(10000);
--- a/src/proxy/tests/SimulatedInstances.cpp
+++ b/src/proxy/tests/SimulatedInstances.cpp
@@ -379,7 +379,7 @@
   Instances[instance].Lag = lag;
 }
 
-void SimulatedInstances::silence(std::size_t instance, bool isSilent) {
+void SimulatedInstances::setSilent(std::size_t instance, bool isSilent) {
   Instances[instance].IsSilent = isSilent;
 }
 
--- a/src/proxy/tests/SimulatedInstances.h
+++ b/src/proxy/tests/SimulatedInstances.h
@@ -52,7 +52,7 @@
   void promote(std::size_t instance);
   void setLag(std::size_t instance, Duration lag);
   /// Holds up messages to and from it; no connection is closed for it.
-  void silence(std::size_t instance, bool isSilent);
+  void setSilent(std::size_t instance, bool isSilent);
   void setBusyShare(double share) { BusyShare = share; }
 
   std::size_t primary() const { return PrimaryIndex; }
--- a/src/proxy/types/ProxyOptions.h
+++ b/src/proxy/types/ProxyOptions.h
@@ -97,7 +97,7 @@
   Duration GrowthInterval = milliseconds(400);
   /// A transaction without a statement for this long counts as idle: well above
   /// the pauses of clients that are active.
-  Duration RestTime = milliseconds(700);
+  Duration IdleTransactionTime = milliseconds(700);
   /// No new connection is opened for this long after an instance had no free
   /// slot.
   Duration FullInstancePause = milliseconds(1000);
--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -341,8 +341,8 @@
       .take(most, reserveAgainstOtherHall(now, account, ask.Priority));
 }
 
-void QuotaLedger::asked(TimePoint now, const std::string &ip,
-                        const QuotaAsk &from) {
+void QuotaLedger::receiveAsk(TimePoint now, const std::string &ip,
+                             const QuotaAsk &from) {
   QuotaAsk ask = from;
   ask.Priority = quotaPriorityOf(from.Priority);
   QuotaGrant grant;
@@ -390,8 +390,8 @@
   account.Leases.insert(place, lease);
 }
 
-void QuotaLedger::answered(TimePoint now, const std::string &ip,
-                           const QuotaGrant &grant) {
+void QuotaLedger::receiveGrant(TimePoint now, const std::string &ip,
+                               const QuotaGrant &grant) {
   const auto found = Accounts.find(grant.Organisation);
   if (found == Accounts.end())
     return;
--- a/src/quota/QuotaLedger.h
+++ b/src/quota/QuotaLedger.h
@@ -51,8 +51,9 @@
                       int priority) override;
 
   /// Handles an ask of another VM to this one as a home.
-  void asked(TimePoint now, const std::string &ip, const QuotaAsk &ask);
-  void answered(TimePoint now, const std::string &ip, const QuotaGrant &grant);
+  void receiveAsk(TimePoint now, const std::string &ip, const QuotaAsk &ask);
+  void receiveGrant(TimePoint now, const std::string &ip,
+                    const QuotaGrant &grant);
   /// Handles the loss of the connection to a home.
   void homeLost(TimePoint now, const std::string &ip);
   void tick(TimePoint now);
--- a/src/quota/tests/QuotaLedgerTest.cpp
+++ b/src/quota/tests/QuotaLedgerTest.cpp
@@ -63,8 +63,8 @@
   home.tick(Start);
   home.tick(Start + milliseconds(2000));
   for (const int operations : {0, -7, 2000000000}) {
-    home.asked(Start + milliseconds(2000), "10.0.0.2",
-               {1, TheOrganisation, operations, false});
+    home.receiveAsk(Start + milliseconds(2000), "10.0.0.2",
+                    {1, TheOrganisation, operations, false});
     CHECK(io.Grants.back().Operations >= 1);
     CHECK(io.Grants.back().Operations <= 100);
   }
@@ -80,10 +80,10 @@
   REQUIRE(io.Asks.size() == 1);
   // Copied, since asking again appends to the list.
   const auto [ip, ask] = io.Asks.front();
-  asker.answered(Start, ip,
-                 {ask.Number, TheOrganisation, GrantResult::Lent, -3, {}});
+  asker.receiveGrant(Start, ip,
+                     {ask.Number, TheOrganisation, GrantResult::Lent, -3, {}});
   CHECK(asker.admit(Start, TheOrganisation, 0) != QuotaVerdict::Granted);
-  asker.answered(
+  asker.receiveGrant(
       Start, ip,
       {ask.Number + 1, TheOrganisation, static_cast<GrantResult>(99), 5, {}});
   CHECK(asker.admit(Start, TheOrganisation, 0) != QuotaVerdict::Granted);
@@ -106,9 +106,11 @@
             QuotaVerdict::Exhausted);
     // All refilled operations are lent, but another hall must leave a reserve.
     const TimePoint later = full + milliseconds(500);
-    home.asked(later, "10.0.1.1", {1, TheOrganisation, 100, true, priority});
+    home.receiveAsk(later, "10.0.1.1",
+                    {1, TheOrganisation, 100, true, priority});
     CHECK(io.Grants.back().Operations == 20);
-    home.asked(later, "10.0.0.2", {2, TheOrganisation, 100, false, priority});
+    home.receiveAsk(later, "10.0.0.2",
+                    {2, TheOrganisation, 100, false, priority});
     CHECK(io.Grants.back().Operations == 30);
   }
 }
@@ -119,21 +121,21 @@
   home.tick(Start);
   // Long after the part began.
   const TimePoint full = Start + milliseconds(4000);
-  home.asked(full, "10.0.0.2", {1, TheOrganisation, 100, false, 0});
+  home.receiveAsk(full, "10.0.0.2", {1, TheOrganisation, 100, false, 0});
   CHECK(io.Grants.back().Operations == 100);
   for (int n = 0; n < 400; ++n)
-    home.asked(full, "10.0.0.2", {2, TheOrganisation, 1, false, 2});
+    home.receiveAsk(full, "10.0.0.2", {2, TheOrganisation, 1, false, 2});
   // For a hundred recent urgent operations a reserve is kept.
   const TimePoint later = full + milliseconds(200);
-  home.asked(later, "10.0.0.2", {3, TheOrganisation, 10, false, 2});
+  home.receiveAsk(later, "10.0.0.2", {3, TheOrganisation, 10, false, 2});
   CHECK(io.Grants.back().Result == GrantResult::Exhausted);
   CHECK(io.Grants.back().RetryAfter > milliseconds(20));
   // An ask of a VM without priorities counts as the most urgent.
-  home.asked(later, "10.0.0.3", {4, TheOrganisation, 10, false});
+  home.receiveAsk(later, "10.0.0.3", {4, TheOrganisation, 10, false});
   CHECK(io.Grants.back().Operations == 10);
   // Operations that the urgent requests no longer use go to the others.
-  home.asked(later + milliseconds(9000), "10.0.0.2",
-             {5, TheOrganisation, 100, false, 2});
+  home.receiveAsk(later + milliseconds(9000), "10.0.0.2",
+                  {5, TheOrganisation, 100, false, 2});
   CHECK(io.Grants.back().Operations >= 90);
 }
 
--- a/src/quota/tests/SimulatedQuotas.cpp
+++ b/src/quota/tests/SimulatedQuotas.cpp
@@ -149,9 +149,10 @@
     if (it.Incarnation != Vms[it.From]->Incarnation)
       continue;
     if (const auto *ask = std::get_if<QuotaAsk>(&it.Body))
-      to.Ledger->asked(Now, ipOf(it.From), *ask);
+      to.Ledger->receiveAsk(Now, ipOf(it.From), *ask);
     else
-      to.Ledger->answered(Now, ipOf(it.From), std::get<QuotaGrant>(it.Body));
+      to.Ledger->receiveGrant(Now, ipOf(it.From),
+                              std::get<QuotaGrant>(it.Body));
   }
   for (auto &it : InFlight)
     kept.push_back(std::move(it));
--- a/src/scheduling/QueueScheduler.cpp
+++ b/src/scheduling/QueueScheduler.cpp
@@ -141,7 +141,7 @@
   return indices;
 }
 
-std::size_t QueueScheduler::heldBack(TimePoint now) const {
+std::size_t QueueScheduler::deferredCount(TimePoint now) const {
   std::size_t n = 0;
   for (const auto &[id, shares] : SharesByQueue)
     n += shares.deferredCount(now);
--- a/src/scheduling/QueueScheduler.h
+++ b/src/scheduling/QueueScheduler.h
@@ -70,7 +70,7 @@
                                      const std::vector<WaitRank> &ranks);
   /// The number of organisations that wait behind another that has used less,
   /// in any queue.
-  std::size_t heldBack(TimePoint now) const;
+  std::size_t deferredCount(TimePoint now) const;
 
 private:
   FairShares &sharesOf(TimePoint now, const QueueId &queue);
--- a/src/scheduling/tests/FairServingTest.cpp
+++ b/src/scheduling/tests/FairServingTest.cpp
@@ -90,7 +90,7 @@
     const auto ranks = randomRanks(random);
     CHECK(scheduler.inOrder(Now, Queue, waitersOf(ranks)) ==
           earlierOrder(ranks));
-    CHECK(scheduler.heldBack(Now) == 0);
+    CHECK(scheduler.deferredCount(Now) == 0);
   }
 }
 
@@ -199,6 +199,6 @@
   scheduler.fairOrder(Now, Queue,
                       {{0, milliseconds(150), Now, OrganisationId("1")},
                        {0, milliseconds(150), Now, OrganisationId("2")}});
-  CHECK(scheduler.heldBack(Now) == 1);
-  CHECK(scheduler.heldBack(Now + milliseconds(200)) == 0);
+  CHECK(scheduler.deferredCount(Now) == 1);
+  CHECK(scheduler.deferredCount(Now + milliseconds(200)) == 0);
 }
