--- a/src/control/ControlNode.h
+++ b/src/control/ControlNode.h
@@ -91,7 +91,7 @@
   /// Decodes the operators' document; its service settings are needed here.
   std::function<absl::StatusOr<Configuration>(const std::string &)> Decode;
   /// A random number drawn at each start: the log has calls of an earlier
-  /// incarnation of this process, which must not be taken for those of this
+  /// incarnation of this process, which must not be mistaken for those of this
   /// one.
   std::uint64_t FirstCallNumber = 0;
   /// How often a process that is not a voter asks to become one.
--- a/src/control/IPromoter.h
+++ b/src/control/IPromoter.h
@@ -67,8 +67,8 @@
   /// Checks whether the instance answers at all; takes none of its slots.
   virtual void ping(const membership::InstanceRecord &instance,
                     std::function<void(bool)> onDone) = 0;
-  /// The instance has restarted: requests to its earlier incarnation get no
-  /// answer, and its connections are closed.
+  /// Called when the instance has restarted: requests to its earlier
+  /// incarnation get no answer, and its connections are closed.
   virtual void cancelRequests(const InstanceId &instance) = 0;
   /// Connections to instances other than these may be closed.
   virtual void retainConnections(const std::set<InstanceId> &instances) = 0;
--- a/src/control/PrimaryFailureDetector.h
+++ b/src/control/PrimaryFailureDetector.h
@@ -51,7 +51,7 @@
   /// Whether any VM reports that \p primary is silent.
   bool isSuspected(TimePoint now, const std::string &service,
                    const InstanceId &primary) const;
-  /// Whether enough of the VMs that report on \p primary find it silent.
+  /// Whether enough of the VMs that report on \p primary report it as silent.
   bool isLost(TimePoint now, const std::string &service,
               const InstanceId &primary) const;
   void clear() { Services.clear(); }
--- a/src/overload/ReportedWaits.h
+++ b/src/overload/ReportedWaits.h
@@ -56,7 +56,7 @@
   /// Whether one borrow may go to a lender in spite of the reported waits;
   /// after true, none may for ProbeInterval.
   bool takeProbe(TimePoint now, const InstanceId &instance);
-  /// Drops a lender that has gone: one that comes back has another queue.
+  /// Removes a lost lender's reports: after a reconnect its queue is another.
   void forget(const InstanceId &instance, const std::string &lender);
 
 private:
--- a/src/proxy/Proxy.h
+++ b/src/proxy/Proxy.h
@@ -115,8 +115,8 @@
   /// Rolls back the open transactions in which no statement is running.
   void abortTransactions(TimePoint now);
   std::size_t sessionCount() const { return Sessions.size(); }
-  /// Number of organisations over their fair share of an instance, whose
-  /// statements wait behind those of others.
+  /// Number of organisations whose statements wait behind those of another that
+  /// has used less, in any queue.
   std::size_t deferredOrganisations(TimePoint now) const {
     return Scheduler.deferredCount(now);
   }
@@ -212,7 +212,7 @@
   /// Only borrowed connections are left, and an own one may be opened again.
   bool shouldRestoreOwn(TimePoint now,
                         const membership::InstanceRecord &record) const;
-  /// Gives up the borrow that \p connection serves, and closes the connection.
+  /// Ends the borrow that \p connection serves, and closes the connection.
   void endBorrow(InstanceConnection &connection);
   InstanceConnection *
   findLendable(TimePoint now, const std::string &service,
--- a/src/proxy/internal/ConnectionPool.h
+++ b/src/proxy/internal/ConnectionPool.h
@@ -79,7 +79,7 @@
                const OrganisationId &organisation) const;
   /// When the oldest ready own connection was opened, if there is one.
   std::optional<TimePoint> ownConnectionSince(const InstanceId &instance) const;
-  /// Whether the instance recently had no capacity for a new connection.
+  /// Whether opening is paused, since the instance had no free connection.
   bool isOpeningPaused(TimePoint now, const InstanceId &instance) const;
   /// How long no new connection may be opened yet, after the instance had no
   /// capacity for one.
--- a/src/proxy/internal/Maintenance.cpp
+++ b/src/proxy/internal/Maintenance.cpp
@@ -356,7 +356,7 @@
   // NOTE: a VM that is no longer a home closes its connections.
   if (usesHomes(connection.Service))
     return !isHomeOf(instance->Record) && idle > Options.NonHomeLifetime;
-  // NOTE: the share shrinks when a VM comes back. Connections kept beyond it
+  // NOTE: the share shrinks when a VM rejoins. Connections kept beyond it
   // would use up all connections of the instance after a power loss.
   return Pool.ownCount(connection.Instance) > share.Limit;
 }
--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -159,7 +159,7 @@
 
 bool QuotaLedger::isDemandOverRate(TimePoint now, const Account &account) {
   // NOTE: a part that has just begun would only fill its reserve, while clients
-  // return with all the requests that they held back.
+  // return with all the requests that they have deferred.
   if (now - account.PartSince < PartFillTime)
     return false;
   const double rate = account.HallLimit.TokensPerSecond;
--- a/src/quota/QuotaLedger.h
+++ b/src/quota/QuotaLedger.h
@@ -8,7 +8,7 @@
 /// that has used its part up borrows from halls that have some left. So the sum
 /// over all VMs holds if VMs are partitioned, restart or have different VM
 /// lists: no two homes lend the same part, except at the moment at which one is
-/// taken for gone, and then the new one begins with almost nothing.
+/// considered lost, and then the new one begins with almost nothing.
 ///
 /// While an organisation asks for more than its rate, a home reserves what its
 /// more urgent requests have used recently, against the less urgent ones of all
--- a/src/quota/tests/QuotaPriorityTest.cpp
+++ b/src/quota/tests/QuotaPriorityTest.cpp
@@ -64,8 +64,8 @@
 }
 
 TEST_CASE("QuotaPriority_NoReserveAfterALossOfPower") {
-  // Clients return with all the requests that they held back, for a second and
-  // a half: as much is granted as if all requests had one priority.
+  // Clients return with all the requests that they have deferred, for a second
+  // and a half: as much is granted as if all requests had one priority.
   for (const double rate : {30.0, 120.0, 600.0}) {
     CAPTURE(rate);
     int granted[2] = {0, 0};
--- a/src/quota/types/QuotaOptions.h
+++ b/src/quota/types/QuotaOptions.h
@@ -28,8 +28,8 @@
   Duration LeaseTime = milliseconds(1000);
   /// How far ahead a VM asks for operations, by its use in the last second.
   Duration ForecastTime = milliseconds(500);
-  /// A home that owes an answer for this long is taken for gone: well above the
-  /// time that a busy VM takes to answer.
+  /// A home that hasn't answered for this long is considered lost: well above
+  /// the time that a busy VM takes to answer.
   Duration SilenceLimit = milliseconds(300);
   /// How long an unavailable home isn't asked.
   Duration UnavailableHomePause = milliseconds(1000);
