--- a/src/consensus/ConsensusNode.cpp
+++ b/src/consensus/ConsensusNode.cpp
@@ -89,8 +89,8 @@
 }
 
 void ConsensusNode::resetTrialTimer(TimePoint now) {
-  // NOTE: after a start nobody is known to lead, and a trial vote disturbs no
-  // leader, so trials come early until the first word of one.
+  // NOTE: after a start no leader is known, and a pre-vote doesn't disturb one,
+  // so pre-votes come early until the first message of a leader.
   if (LeaderContact > TimePoint{})
     return resetElectionTimer(now);
   std::uniform_int_distribution<std::int64_t> pause(
@@ -122,18 +122,19 @@
   }
   if (message.to() != Self.number())
     return;
-  // NOTE: a trial's term is none that anybody is in yet, but a refusal of one
-  // carries its sender's own, which may be the newer one.
+  // NOTE: a pre-vote's term is one that no member has entered, but a refused
+  // pre-vote has its sender's own term, which may be newer.
   const bool isTrial =
       (message.has_vote_request() && message.vote_request().is_trial()) ||
       (message.has_vote_reply() && message.vote_reply().is_trial() &&
        message.vote_reply().granted());
   const bool hasLeader =
       (isLeader() || Leader) && now - LeaderContact < Options.ElectionTimeout;
-  // NOTE: a member that hears its leader lets nobody depose it.
+  // NOTE: a member with a recent message of its leader helps no other member to
+  // depose it.
   if (message.has_vote_request() && hasLeader)
     return;
-  // NOTE: whoever has its vote may lead in a moment.
+  // NOTE: the member that got its vote may become leader in a moment.
   if (message.has_vote_request() && isTrial && now < VoteHoldsUntil)
     return;
   const bool isBehind = message.term() > Term && !isTrial;
@@ -149,7 +150,8 @@
     onAppendReply(now, message);
   else if (message.has_snapshot_request())
     onSnapshotRequest(now, message);
-  // NOTE: it was refused for its term only, which it knows now.
+  // NOTE: the pre-vote was refused only for its old term, which is up to date
+  // now.
   if (isBehind && message.has_vote_reply() && mayStandNow(now))
     startTrial(now);
 }
@@ -170,7 +172,7 @@
 
 void ConsensusNode::becomeLeader(TimePoint now) {
   Role = MemberRole::Leader;
-  // NOTE: a late vote doesn't bring a lost lead back.
+  // NOTE: a late vote doesn't restore a lost leadership.
   StoodIn = 0;
   Leader.reset();
   LeaderContact = now;
@@ -295,7 +297,7 @@
   while (!HeldMessages.empty() && HeldMessages.front().first <= ticket) {
     auto held = std::move(HeldMessages.front().second);
     HeldMessages.pop_front();
-    // NOTE: a vote of an earlier term is no longer this member's word.
+    // NOTE: a vote of an earlier term is no longer valid.
     if (held.Message.term() >= Term)
       Pending.Messages.push_back(std::move(held));
   }
@@ -342,8 +344,8 @@
 void ConsensusNode::takeSnapshot(std::uint64_t index, std::string state) {
   if (index <= Base.index() || index > Commit)
     return;
-  // NOTE: the state covers all up to its index, so nothing below is kept; a
-  // member that is behind it gets the state.
+  // NOTE: the state covers all entries up to its index, so none of them is
+  // kept; a member that lacks some of them receives the state.
   const std::uint64_t term = termAt(index);
   wire::Membership voters = Base.membership();
   while (!Log.empty() && Log.front().index() <= index) {
--- a/src/consensus/ConsensusNode.h
+++ b/src/consensus/ConsensusNode.h
@@ -2,11 +2,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file One member of the control group: election, replication, snapshots and
-/// change of voters, as a state machine without clock, disk or sockets.
+/// membership changes, as a state machine without clock, disk or sockets.
 ///
-/// The log is replicated as in Raft, with trial votes, a leader that steps
-/// down without a majority, and one voter changed at a time. What must be
-/// durable before others hear of it waits for persisted().
+/// The log is replicated as in Raft, with pre-votes, a leader that steps down
+/// without a majority, and membership changes of one voter at a time. Messages
+/// that need durable records are sent after persisted().
 
 #ifndef STEPLEDGE_CONSENSUS_CONSENSUSNODE_H
 #define STEPLEDGE_CONSENSUS_CONSENSUSNODE_H
@@ -28,7 +28,7 @@
 
 using MemberNumber = std::uint64_t;
 
-/// What a member finds on its disk.
+/// State that a member loads from its disk.
 struct DurableState {
   std::uint64_t Term = 0;
   MemberNumber VotedFor = 0;
@@ -36,26 +36,27 @@
   std::vector<wire::Entry> Entries;
 };
 
-/// A message and the address of its receiver, which may be unknown to others.
+/// A message and the address of its receiver, which other members may not have.
 struct OutgoingMessage {
   std::string Ip;
   wire::Message Message;
 };
 
-/// What the shell has to do after each call, in this order.
+/// Actions that the caller has to carry out after each call, in this order.
 struct Effects {
-  /// To be written and synced; then persisted(Ticket) is called.
+  /// Records to write and sync; then persisted(Ticket) is to be called.
   std::vector<wire::Record> Records;
   std::uint64_t Ticket = 0;
-  /// The whole log is to be written anew, since a snapshot replaces it.
+  /// The log file is to be rewritten with allRecords(), since a snapshot
+  /// replaces its content.
   bool MustRewrite = false;
   std::vector<OutgoingMessage> Messages;
-  /// The state is to be replaced by this, before Committed is applied.
+  /// Replaces the applied state, before Committed is applied.
   std::optional<wire::Snapshot> Restored;
   std::vector<wire::Entry> Committed;
-  /// Reads that may now answer from the applied state.
+  /// Reads that may now be answered from the applied state.
   std::vector<std::uint64_t> ConfirmedReads;
-  /// Reads whose leader lost its majority.
+  /// Reads that failed because the leader lost its leadership.
   std::vector<std::uint64_t> FailedReads;
 };
 
@@ -66,34 +67,38 @@
 
   void tick(TimePoint now);
   void receive(TimePoint now, const wire::Message &message);
-  /// From now on messages to and from \p ip arrive.
+  /// Messages to and from \p ip arrive from now on.
   void connectionMade(TimePoint now, const std::string &ip);
-  /// Messages to \p ip may be lost; what it hasn't answered is sent again.
+  /// Messages to \p ip may be lost; unanswered ones are sent again.
   void connectionLost(TimePoint now, const std::string &ip);
   /// All records up to \p ticket are on disk.
   void persisted(TimePoint now, std::uint64_t ticket);
-  /// The entry's index, where this member leads.
+  /// Returns the entry's index; nothing if this member doesn't lead.
   std::optional<std::uint64_t> propose(TimePoint now, std::string command);
-  /// A confirmed read comes back in Effects with \p token.
+  /// Once the read is confirmed, Effects returns \p token. False if this member
+  /// can't serve reads.
   bool requestRead(TimePoint now, std::uint64_t token);
-  /// The applied state, for members that are far behind.
+  /// Replaces the log up to \p index by the applied state, which is sent to
+  /// members that are far behind.
   void takeSnapshot(std::uint64_t index, std::string state);
   bool wantsSnapshot() const;
   Effects takeEffects();
-  /// All records that a new log file needs.
+  /// Returns all records of a new log file.
   std::vector<wire::Record> allRecords() const;
 
   bool isLeader() const { return Role == MemberRole::Leader; }
-  /// It leads, and has committed an entry of its own term.
+  /// True if this member leads and has committed an entry of its own term.
   bool canServe() const;
-  /// The applied state holds all that a majority held a moment ago.
+  /// True if the applied state has all entries that a majority had a moment
+  /// ago.
   bool isFresh(TimePoint now) const;
   bool isVoter() const { return isVoter(Self.number()); }
-  /// It is no voter, or its log may be too old to tell: it is to ask the others
-  /// for the log.
+  /// True if this member is no voter, or its log may be too old to show it; it
+  /// then asks the other members to join.
   bool needsToJoin(TimePoint now) const;
   std::optional<wire::Member> leader() const;
-  /// The leader was heard, or heard a majority, at this time.
+  /// Time of the last message from the leader, or on the leader itself, when it
+  /// last had replies from a majority.
   TimePoint leaderContact() const { return LeaderContact; }
   TimePoint startedAt() const { return StartedAt; }
   const wire::Membership &membership() const { return Voters; }
@@ -104,7 +109,7 @@
 private:
   enum class MemberRole { Follower, TrialCandidate, Candidate, Leader };
 
-  /// How far another member's log is known to go.
+  /// Replication state of another member.
   struct Progress {
     wire::Member Member;
     std::uint64_t Match = 0;
@@ -112,14 +117,15 @@
     std::uint64_t Round = 0;
     TimePoint HeardAt{};
     TimePoint JoinedAt{};
-    /// A batch or snapshot is on its way.
+    /// A batch or snapshot is unanswered.
     bool IsBusy = false;
-    /// It holds the entries from this one to the one before Next; a snapshot
-    /// holds all of them.
+    /// First entry of the unanswered batch, which ends before Next; a snapshot
+    /// starts at 1.
     std::uint64_t BusyFrom = 0;
-    /// Then it is sent again, unless it was answered.
+    /// Time at which the batch or snapshot is sent again if still unanswered.
     TimePoint ResendAt{};
-    /// From the last time it was sent, but for the time that its bytes take.
+    /// Time from the last send to ResendAt, without the transfer time of its
+    /// bytes.
     Duration ResendPause{};
   };
 
@@ -141,32 +147,36 @@
   void startElection(TimePoint now);
   void askForVotes(bool isTrial);
   void askForVote(bool isTrial, const wire::Member &voter);
-  /// It has heard of no leader since its start.
+  /// True until the first message of a leader since the start of this member.
   bool isStarting() const { return LeaderContact == TimePoint{}; }
   bool mayStandNow(TimePoint now) const;
-  /// For so long members go in order; longer once an election led nowhere.
+  /// How long members become candidates in order; longer after an election
+  /// without a leader.
   Duration orderTime() const {
     return std::max(Options.OrderTime, StartTimeout);
   }
-  /// A vote was given, so nobody stands against it for a while.
+  /// After a vote was given, this member starts no pre-vote and answers none
+  /// for a while.
   void keepVote(TimePoint now);
-  /// The sender of \p trial, while members go in order.
+  /// Returns the sender of \p trial if it is a competing candidate while
+  /// members become candidates in order, else nullptr.
   const wire::Member *findRival(TimePoint now,
                                 const wire::Message &trial) const;
-  /// This member goes before the sender of \p trial: by a newer log, then by a
-  /// lower number.
+  /// True if this member comes before the sender of \p trial: it has a newer
+  /// log, or the same log and a lower number.
   bool precedes(const wire::Message &trial) const;
-  /// Stands for election in place of the sender of \p trial, where the order
-  /// has this member go first.
+  /// Starts or repeats this member's own pre-vote instead of granting \p trial,
+  /// if this member comes before its sender. False if it doesn't.
   bool standInstead(TimePoint now, const wire::Message &trial);
-  /// Drops the own trial for an earlier member, and holds back for OrderTime.
+  /// Cancels this member's pre-vote in favour of an earlier candidate, and
+  /// starts none for orderTime().
   void giveWay(TimePoint now, const wire::Message &trial);
-  /// Members go in order again, without the one whose turn led nowhere, or
-  /// after an election that did.
+  /// Starts the ordered candidacy again after an election without a leader, or
+  /// without the member that had its turn and doesn't lead.
   void orderAnew(TimePoint now);
   void becomeLeader(TimePoint now);
   void resetElectionTimer(TimePoint now);
-  /// Until the next trial vote, if nobody leads by then.
+  /// Sets the time of the next pre-vote, unless a leader appears before.
   void resetTrialTimer(TimePoint now);
 
   void onVoteRequest(TimePoint now, const wire::Message &message);
@@ -183,19 +193,19 @@
   void saveVote();
   void record(wire::Record record);
   void send(const std::string &ip, MemberNumber to, wire::Message message);
-  /// Sends once all that was recorded until now is on disk.
+  /// Sends \p message once all records so far are on disk.
   void sendDurably(const std::string &ip, MemberNumber to,
                    wire::Message message);
 
   void replicate(TimePoint now, Progress &progress, bool mustSend);
   void replicateAll(TimePoint now, bool mustSend);
   void sendSnapshot(TimePoint now, Progress &progress);
-  /// What begins at \p from is on its way, with \p bytes.
+  /// Marks the entries from \p from on as sent and unanswered, with \p bytes.
   void startWait(TimePoint now, Progress &progress, std::uint64_t from,
                  std::uint64_t bytes);
-  /// What was on its way has come, or was refused.
+  /// Ends the wait for a reply, after an acceptance or a refusal.
   static void endWait(Progress &progress);
-  /// What was on its way is to be sent again.
+  /// Ends the wait for a reply and has the same entries sent again.
   static void giveUpWait(Progress &progress);
   void advanceCommit(TimePoint now);
   void setCommit(std::uint64_t index);
@@ -216,34 +226,40 @@
   wire::Snapshot Base;
   std::deque<wire::Entry> Log;
   wire::Membership Voters;
-  /// The index of the newest entry that changed the voters.
+  /// Index of the newest entry that changed the voters.
   std::uint64_t VotersIndex = 0;
 
   MemberRole Role = MemberRole::Follower;
   std::optional<wire::Member> Leader;
   TimePoint LeaderContact{};
   TimePoint StartedAt{};
-  /// The leader's commit index when it was last heard.
+  /// Highest commit index in the messages of the leader.
   std::uint64_t LeaderCommit = 0;
   TimePoint ElectionAt{};
   TimePoint HeartbeatAt{};
   std::set<MemberNumber> TrialVotes;
   std::set<MemberNumber> Votes;
-  /// The last term in which this member stood for election in this life.
+  /// Last term in which this process was a candidate; 0 once late votes no
+  /// longer count.
   std::uint64_t StoodIn = 0;
-  /// Until then members that know of no leader go in order.
+  /// End of the ordered candidacy.
   TimePoint OrderUntil{};
-  /// Until then this member starts no trial: it gave way, or has voted.
+  /// No pre-vote is started before this time, because this member deferred to
+  /// another one or has voted.
   TimePoint HoldsBackUntil{};
   std::optional<MemberNumber> GaveWayTo;
-  /// They had their turn since they connected, and nobody leads.
+  /// Members that had their turn as candidate since they connected, without
+  /// leading.
   std::set<MemberNumber> PassedOver;
-  /// Until then a vote that was given after the start is not made vain.
+  /// Pre-votes are ignored until this time, so that they don't void a vote that
+  /// was given after the start.
   TimePoint VoteHoldsUntil{};
-  /// From an election to the next trial, until a leader is heard.
+  /// Minimum time from an election to the next pre-vote, until the first
+  /// message of a leader.
   Duration StartTimeout{};
   std::uint64_t Commit = 0;
-  /// Starts above 0, which replies without a round carry.
+  /// Number of the current round; starts above 0, which replies without a round
+  /// have.
   std::uint64_t Round = 1;
   std::map<MemberNumber, Progress> Others;
   std::vector<PendingRead> Reads;
@@ -251,14 +267,14 @@
 
   std::uint64_t LastTicket = 0;
   std::uint64_t PersistedTicket = 0;
-  /// The last index that is on the own disk.
+  /// Last index on this member's disk.
   std::uint64_t DurableIndex = 0;
   struct PersistPoint {
     std::uint64_t Ticket = 0;
     std::uint64_t Index = 0;
     std::uint64_t Term = 0;
   };
-  /// The last index known to be as in the present leader's log.
+  /// Last index that is known to match the current leader's log.
   std::uint64_t MatchedIndex = 0;
   std::deque<PersistPoint> PersistPoints;
   std::deque<std::pair<std::uint64_t, OutgoingMessage>> HeldMessages;
--- a/src/consensus/DiskWriter.cpp
+++ b/src/consensus/DiskWriter.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The pause after a disk refused a write, before it is tried again.
+/// Delay before a failed write is tried again.
 constexpr std::chrono::milliseconds FailurePause(100);
 
 } // namespace
@@ -35,7 +35,7 @@
                         std::vector<wire::Record> records) {
   {
     const std::lock_guard guard(Lock);
-    // NOTE: all that waits is written in one go: group commit.
+    // NOTE: all queued records are written together (group commit).
     std::move(records.begin(), records.end(), std::back_inserter(Next.Records));
     Next.Ticket = ticket;
     HasNext = true;
@@ -81,7 +81,7 @@
     Changed.wait_for(guard, FailurePause, [this] { return IsStopping; });
     if (IsStopping)
       return;
-    // NOTE: a rewrite that came meanwhile holds all of this job too.
+    // NOTE: a rewrite that was queued since contains all records of this job.
     if (HasNext && Next.IsRewrite) {
       job = std::exchange(Next, Job());
       HasNext = false;
--- a/src/consensus/DiskWriter.h
+++ b/src/consensus/DiskWriter.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A thread that writes and syncs the log, so that a slow or stalled
-/// disk never holds up the event loop.
+/// \file A thread that writes and syncs the log, so that a slow or stalled disk
+/// never blocks the event loop.
 
 #ifndef STEPLEDGE_CONSENSUS_DISKWRITER_H
 #define STEPLEDGE_CONSENSUS_DISKWRITER_H
@@ -18,8 +18,8 @@
 
 class DiskWriter {
 public:
-  /// \p onDone is called on the writer's thread with the last ticket that is
-  /// on disk, \p onFailure with each failed try.
+  /// \p onDone is called on the writer's thread with the last ticket that is on
+  /// disk, \p onFailure with the status of each failed attempt.
   DiskWriter(LogStore &store, std::function<void(std::uint64_t)> onDone,
              std::function<void(const absl::Status &)> onFailure);
   ~DiskWriter();
@@ -27,7 +27,7 @@
   DiskWriter &operator=(const DiskWriter &) = delete;
 
   void append(std::uint64_t ticket, std::vector<wire::Record> records);
-  /// Replaces the file; what was queued before it is left out.
+  /// Replaces the file; records still queued are discarded.
   void rewrite(std::uint64_t ticket, std::vector<wire::Record> records);
 
 private:
--- a/src/consensus/LogStore.cpp
+++ b/src/consensus/LogStore.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr std::string_view FilePrefix = "log-";
-/// Length and checksum before each record.
+/// Bytes of the length and checksum before each record.
 constexpr std::size_t HeaderBytes = 12;
 
 absl::Status failure(const char *what) {
@@ -38,7 +38,8 @@
   return out + body;
 }
 
-/// The record at \p offset, which is moved behind it; nothing at a torn one.
+/// Reads the record at \p offset and moves \p offset behind it; returns nothing
+/// for a torn record.
 std::optional<wire::Record> readRecord(const std::string &bytes,
                                        std::size_t &offset) {
   if (bytes.size() - offset < HeaderBytes)
@@ -145,7 +146,7 @@
     if (!isComplete)
       continue;
     Descriptor = ::open(fileOf(number).c_str(), O_RDWR);
-    // NOTE: what lies behind a torn record was never acknowledged.
+    // NOTE: bytes behind a torn record were never acknowledged.
     if (Descriptor < 0 ||
         ::ftruncate(Descriptor, static_cast<off_t>(offset)) != 0 ||
         ::fsync(Descriptor) != 0)
@@ -177,7 +178,7 @@
   end.set_is_complete(true);
   const std::string bytes = frameAll(records) + frame(end);
   const std::string path = fileOf(number).string();
-  // NOTE: the configuration holds the clients' keys.
+  // NOTE: the configuration contains the clients' keys.
   constexpr mode_t OwnerOnly = 0600;
   const int descriptor =
       ::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC, OwnerOnly);
--- a/src/consensus/LogStore.h
+++ b/src/consensus/LogStore.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The log on disk: checksummed records in one file, which is replaced
-/// by a new one with each snapshot.
+/// \file The log on disk: checksummed records in one file, which each snapshot
+/// replaces by a new one.
 
 #ifndef STEPLEDGE_CONSENSUS_LOGSTORE_H
 #define STEPLEDGE_CONSENSUS_LOGSTORE_H
@@ -18,7 +18,7 @@
 
 namespace stepledge::consensus {
 
-/// What the newest whole file holds.
+/// Content of the newest complete file.
 struct LoadedLog {
   MemberNumber Identity = 0;
   DurableState State;
@@ -31,13 +31,13 @@
   LogStore(const LogStore &) = delete;
   LogStore &operator=(const LogStore &) = delete;
 
-  /// Reads the newest file whose beginning is whole, and cuts off a torn end.
-  /// Nothing where there is none.
+  /// Reads the newest complete file and truncates its torn end. Returns nothing
+  /// if there is none.
   absl::StatusOr<std::optional<LoadedLog>> load();
-  /// Returns once \p records are synced. After a failure the file is as it
-  /// was, and the call may be repeated.
+  /// Returns once \p records are synced. After a failure the log is unchanged,
+  /// and the call may be repeated.
   absl::Status append(const std::vector<wire::Record> &records);
-  /// Starts a new file with \p records and removes the older ones.
+  /// Writes \p records to a new file and removes the older ones.
   absl::Status rewrite(const std::vector<wire::Record> &records);
 
 private:
--- a/src/consensus/internal/Election.cpp
+++ b/src/consensus/internal/Election.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of ConsensusNode that decides who stands for election and who
-/// gets its vote.
+/// \file The part of ConsensusNode that decides when it becomes a candidate and
+/// which candidate gets its vote.
 
 #include "consensus/ConsensusNode.h"
 
@@ -17,13 +17,14 @@
 
 void ConsensusNode::connectionMade(TimePoint now, const std::string &ip) {
   if (isLeader()) {
-    // NOTE: it may have started just now, and looks for a leader.
+    // NOTE: the other member may have just started and need a leader.
     for (auto &[number, it] : Others)
       if (it.Member.ip() == ip)
         replicate(now, it, true);
     return;
   }
-  // NOTE: a wiped disk's old and new numbers may both be voters there.
+  // NOTE: the old and the new number of a wiped disk may both be voters at this
+  // address.
   std::vector<wire::Member> voters;
   for (const auto &it : Voters.voters())
     if (it.ip() == ip && it.number() != Self.number())
@@ -34,8 +35,9 @@
   OrderUntil = now + orderTime();
   for (const auto &it : voters)
     PassedOver.erase(it.number());
-  // NOTE: what was asked before found no way to it. Votes of others stand, but
-  // for those that rivals gave each other when their order had run out.
+  // NOTE: earlier requests didn't reach the voter. Votes of other members stay,
+  // except pre-votes that competing candidates gave each other after the
+  // ordered candidacy had ended.
   const bool isTrial = Role == MemberRole::TrialCandidate && isOrdered;
   if (isTrial || Role == MemberRole::Candidate)
     for (const auto &it : voters)
@@ -64,8 +66,8 @@
   resetElectionTimer(now);
   keepVote(now);
   StartTimeout = Options.ElectionTimeout;
-  // NOTE: the own vote counts at once: it goes out, as the requests do, only
-  // when it is on disk.
+  // NOTE: the own vote counts at once: vote requests leave only when it is on
+  // disk.
   Votes = {Self.number()};
   if (Votes.size() >= majority())
     return becomeLeader(now);
@@ -120,7 +122,8 @@
   const auto *rival = findRival(now, trial);
   if (!rival || !precedes(trial))
     return false;
-  // NOTE: an earlier request may have gone out before the other side listened.
+  // NOTE: an earlier request may have been sent before the other member
+  // accepted connections.
   if (Role == MemberRole::TrialCandidate)
     askForVote(true, *rival);
   else if (Role == MemberRole::Follower && now >= HoldsBackUntil)
@@ -178,7 +181,7 @@
 
 void ConsensusNode::onVoteReply(TimePoint now, const wire::Message &message) {
   const auto &reply = message.vote_reply();
-  // NOTE: votes that come while the next trial runs are still for this term.
+  // NOTE: votes that arrive during the next pre-vote still belong to this term.
   const bool isWanted =
       reply.is_trial()
           ? Role == MemberRole::TrialCandidate && message.term() == Term + 1
--- a/src/consensus/internal/Replication.cpp
+++ b/src/consensus/internal/Replication.cpp
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The part of ConsensusNode that copies the log and commits entries.
+/// \file The part of ConsensusNode that replicates the log, commits entries and
+/// maintains the voters.
 
 #include "consensus/ConsensusNode.h"
 
@@ -53,11 +54,12 @@
     record(std::move(entry));
   }
   MatchedIndex = std::max(matched, std::min(MatchedIndex, lastIndex()));
-  // NOTE: heartbeats may overtake a batch, which then tells an older one.
+  // NOTE: a heartbeat may overtake a batch, which then has an older commit
+  // index.
   LeaderCommit = std::max(LeaderCommit, request.commit());
   setCommit(std::min(request.commit(), MatchedIndex));
   result.set_accepted(true);
-  // NOTE: what is not on disk yet is reported by persisted().
+  // NOTE: persisted() reports the entries that are not on disk yet.
   result.set_index(std::min(DurableIndex, MatchedIndex));
   result.set_received(MatchedIndex);
   send(Leader->ip(), Leader->number(), std::move(reply));
@@ -73,7 +75,7 @@
     Leader = std::move(it);
   }
   Role = MemberRole::Follower;
-  // NOTE: a late vote of this term counts no more.
+  // NOTE: a late vote of this term no longer counts.
   StoodIn = 0;
   LeaderContact = now;
   resetElectionTimer(now);
@@ -86,8 +88,9 @@
   followLeader(now, message);
   const auto &request = message.snapshot_request();
   if (request.snapshot().index() > Commit) {
-    // NOTE: as the log stands now; with the new base the term would be compared
-    // with itself, and entries of a lost lead would stay, and count in votes.
+    // NOTE: this compares the log before it gets the new base; with the new
+    // base, the term would be compared with itself, and entries of a lost
+    // leadership would stay and count in votes.
     const bool keepsTail =
         lastIndex() > request.snapshot().index() &&
         termAt(request.snapshot().index()) == request.snapshot().term();
@@ -126,9 +129,10 @@
   if (reply.accepted()) {
     progress.Match = std::max(progress.Match, reply.index());
     progress.Next = std::max(progress.Next, progress.Match + 1);
-    // NOTE: an answer to a heartbeat that overtook a batch, or was sent before
-    // it, says nothing of it. When it ended the wait, the next heartbeat found
-    // a gap, and brought copies: three entries of 205 KB each took 3,896 KB.
+    // NOTE: a reply to a heartbeat that overtook a batch, or was sent before
+    // it, doesn't acknowledge the batch. When it ended the wait, the next
+    // heartbeat found a gap and caused copies: three entries of 205 KB each
+    // took 3,896 KB.
     if (reply.received() + 1 >= progress.Next)
       endWait(progress);
   } else if (!progress.IsBusy || reply.index() + 1 < progress.BusyFrom) {
@@ -136,7 +140,7 @@
         progress.Match + 1, std::min(progress.Next - 1, reply.index() + 1));
     endWait(progress);
   }
-  // NOTE: else what this refusal asked for is on its way already.
+  // NOTE: otherwise the entries that this refusal asks for are already sent.
   advanceCommit(now);
   confirmReads();
   if (progress.Next <= lastIndex())
@@ -168,10 +172,10 @@
     return sendSnapshot(now, progress);
   if (progress.IsBusy && !mustSend)
     return;
-  // NOTE: while a batch is on its way, heartbeats repeat no entries; they
-  // match at a place that the receiver is known to have, or else at the first
-  // one that is known here. A member that heard none while its snapshot was on
-  // its way asked for votes 48 times in 8 s.
+  // NOTE: while a batch is unanswered, heartbeats repeat no entries; they match
+  // at an index that the receiver is known to have, or else at the first one in
+  // this log. A member that received no heartbeat during its snapshot asked for
+  // votes 48 times in 8 s.
   const std::uint64_t next = progress.IsBusy
                                  ? std::max(progress.Match, Base.index()) + 1
                                  : progress.Next;
@@ -263,7 +267,8 @@
     return;
   const bool isFirst = !canServe();
   setCommit(index);
-  // NOTE: the others serve once they know of it, so not at the next heartbeat.
+  // NOTE: followers serve once they have the new commit index, so it is sent
+  // now and not with the next heartbeat.
   if (isFirst)
     replicateAll(now, true);
 }
@@ -328,7 +333,8 @@
     }
     const auto &progress = Others[it.number()];
     alive += now - progress.HeardAt < Options.AliveLimit;
-    // NOTE: a newer number at the same address means that the disk is gone.
+    // NOTE: a member with another number and a later reply at the same address
+    // means that the disk was wiped.
     const bool isWiped =
         std::any_of(Others.begin(), Others.end(), [&](const auto &other) {
           return other.first != it.number() &&
--- a/src/consensus/tests/ConsensusScheduleTest.cpp
+++ b/src/consensus/tests/ConsensusScheduleTest.cpp
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Seeded schedules of kills, cuts, wiped and stalled disks: no entry is
-/// lost or doubled, no read is stale, and the group comes back.
+/// \file Seeded schedules of kills, network partitions, wiped and stalled
+/// disks: no entry is lost or applied twice, no read is stale, and the group
+/// recovers.
 
 #include "consensus/tests/SimulatedGroup.h"
 
@@ -17,10 +18,11 @@
 
 namespace {
 
-/// As the narrowest link that a VM was seen with.
+/// Bytes per second of the narrowest links between VMs.
 constexpr double NarrowRate = 250e3;
 
-/// More with STEPLEDGE_SEEDS=N, from STEPLEDGE_FIRST_SEED on.
+/// Returns the value of the environment \p variable: STEPLEDGE_SEEDS is the
+/// number of seeds, STEPLEDGE_FIRST_SEED the first one.
 std::uint64_t numberFrom(const char *variable, std::uint64_t otherwise) {
   const char *text = std::getenv(variable);
   return text ? std::strtoull(text, nullptr, 10) : otherwise;
@@ -30,11 +32,11 @@
   std::size_t Members;
   std::size_t Bootstrapped;
   int Target;
-  /// Disks that may be lost at once.
+  /// Number of disks that may be lost at once.
   std::size_t Losses;
 };
 
-/// One random fault, or a pause.
+/// Injects or repairs one random fault.
 void disturb(SimulatedGroup &group, const Shape &shape) {
   const std::size_t member = group.pick(group.size());
   const std::size_t other = group.pick(group.size());
@@ -72,7 +74,8 @@
   }
 }
 
-/// Everything runs and is connected again: a new entry commits in time.
+/// Starts and connects all members, and checks that a new entry commits in
+/// time.
 void settle(SimulatedGroup &group, Duration limit) {
   group.heal();
   group.setLoss(0.0);
@@ -85,7 +88,7 @@
   CHECK_MESSAGE(group.committed() > before, "nothing commits any more");
 }
 
-/// Half of all ways get narrow, and let small messages by.
+/// Limits the bandwidth of half of the links; small messages bypass them.
 void narrowSomeWays(SimulatedGroup &group) {
   for (std::size_t from = 0; from < group.size(); ++from)
     for (std::size_t to = 0; to < group.size(); ++to)
@@ -93,8 +96,8 @@
         group.narrow(from, to, NarrowRate, true);
 }
 
-/// Entries hold up to \p mostBytes, snapshots as many; large ones are late on
-/// narrow ways.
+/// Runs one seeded schedule. Entries and snapshots have up to \p mostBytes;
+/// large ones are delayed on narrow links.
 void playSeed(std::uint64_t seed, const Shape &shape, std::size_t mostBytes = 0,
               const SimulatedTiming &timing = {}) {
   CAPTURE(seed);
@@ -113,7 +116,8 @@
       group.read();
       group.run(milliseconds(150));
     }
-    // A disk is lost while all others are well, as the group promises to bear.
+    // A disk is lost while all other members are healthy, which the group must
+    // survive.
     if (round % 8 == 7) {
       settle(group, milliseconds(6000));
       group.wipe(group.pick(group.size()));
@@ -125,8 +129,9 @@
   CHECK(group.fault() == "");
 }
 
-/// All members lose power and come back after a second. Nobody reaches another
-/// before \p unreachable has passed; the group then has \p time for a leader.
+/// All members lose power and restart after a second. No member reaches another
+/// one before \p unreachable has passed; then the group has \p time to elect a
+/// leader.
 bool leadsAfterPowerLoss(std::uint64_t seed, Duration unreachable,
                          Duration time) {
   SimulatedGroup group(3, 3, 3, seed);
@@ -180,8 +185,9 @@
 }
 
 TEST_CASE("Consensus_SeedsThatFailed") {
-  // 2214: the member with the newer term had the shorter log; neither could
-  // win a trial, since a refused one didn't tell the newer term.
+  // 2214: the member with the newer term had the shorter log; neither member
+  // could win a pre-vote, since a refused pre-vote didn't report the newer
+  // term.
   playSeed(2214, {3, 3, 3, 1});
 }
 
--- a/src/consensus/tests/LogStoreTest.cpp
+++ b/src/consensus/tests/LogStoreTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The log file after losses of power: what was synced is there, a torn
-/// end is cut off, and a file whose writing was cut off isn't taken.
+/// \file The log file after power losses: synced records are kept, a torn end
+/// is truncated, and an incomplete file is ignored.
 
 #include "consensus/LogStore.h"
 
@@ -19,7 +19,7 @@
 
 namespace fs = std::filesystem;
 
-/// A folder that goes with the test.
+/// A folder that is removed with this object.
 class TemporaryFolder {
 public:
   TemporaryFolder() {
@@ -186,7 +186,8 @@
     records[1].mutable_snapshot()->set_index(4);
     REQUIRE(store.rewrite(records).ok());
   }
-  // Power was lost before the new file was whole: the old one is still there.
+  // Power was lost before the new file was complete; the old one is still
+  // there.
   const fs::path file = newestFile(folder.Path);
   const std::string whole = bytesOf(file);
   writeBytes(old, kept);
--- a/src/consensus/tests/RejoinTest.cpp
+++ b/src/consensus/tests/RejoinTest.cpp
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Members that come back to a group which has gone on without them.
+/// \file Members that return to a group whose log or voters changed without
+/// them.
 
 #include "consensus/tests/SimulatedGroup.h"
 
@@ -17,7 +18,7 @@
 
 constexpr std::size_t Members = 5;
 
-/// Cuts the member off until it has been replaced, and heals the cut.
+/// Isolates the member until it has been replaced, and reconnects it.
 void replaceOutOfReach(SimulatedGroup &group, std::size_t member) {
   for (std::size_t i = 0; i < Members; ++i) {
     if (i == member)
@@ -30,7 +31,7 @@
   group.heal();
 }
 
-/// A voter that doesn't lead.
+/// Returns a voter that isn't the leader.
 std::size_t follower(SimulatedGroup &group) {
   const auto voters = group.voters(*group.leader());
   const auto it = std::find_if(
@@ -50,11 +51,11 @@
 } // namespace
 
 TEST_CASE("Consensus_VoterThatWasReplacedOutOfReachIsASpareAfterwards") {
-  // What was seen: a voter that had been cut off for six seconds, and replaced
-  // by a spare meanwhile, never got an entry again, not even after a restart:
-  // its own log said that it was a voter, so it didn't ask to join, and its
-  // trial votes were passed over. After two such cuts the group had no spare
-  // left, and two more losses left it without a leader.
+  // A voter that had been isolated for six seconds, and replaced by a spare
+  // meanwhile, never received an entry again, even after a restart: its own log
+  // still listed it as a voter, so it didn't ask to join, and its pre-votes
+  // were ignored. After two such isolations the group had no spare left, and
+  // two more losses left it without a leader.
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
     SimulatedGroup group(Members, 3, 3, seed);
@@ -91,7 +92,7 @@
   auto &snapshot = *message.mutable_snapshot_request()->mutable_snapshot();
   *snapshot.mutable_membership() = state.Snapshot.membership();
   snapshot.set_index(5);
-  // The same entry as its own, and another one.
+  // The same entry as in the member's log, and another one.
   for (const auto &[term, kept] : {std::pair(2, 5), std::pair(3, 0)}) {
     ConsensusNode node(memberOf(1), {}, state, 1, now);
     snapshot.set_term(static_cast<std::uint64_t>(term));
--- a/src/consensus/tests/ResendTest.cpp
+++ b/src/consensus/tests/ResendTest.cpp
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a member hasn't answered yet is on its way, more often than it is
-/// lost: a slow link carries few copies, and heartbeats go on beside them.
+/// \file Tests for resends: an unanswered message is more often delayed than
+/// lost, so a slow link carries few copies, and heartbeats continue beside
+/// them.
 
 #include "consensus/tests/SimulatedGroup.h"
 
@@ -13,11 +14,11 @@
 
 namespace {
 
-/// As the narrowest link that a VM was seen with.
+/// Bytes per second of the narrowest links between VMs.
 constexpr double NarrowRate = 250e3;
 constexpr std::size_t EntryBytes = 200 << 10;
 constexpr std::size_t StateBytes = 800 << 10;
-/// All messages without entries or state in a test's time.
+/// Upper bound for all messages without entries or state during a test.
 constexpr std::size_t SmallMessages = 20 << 10;
 
 struct Slow {
@@ -25,7 +26,7 @@
   std::size_t Follower = 0;
 };
 
-/// A group that leads, and the way from its leader to one follower.
+/// Waits for a leader, and returns it with one follower.
 Slow begin(SimulatedGroup &group) {
   group.run(milliseconds(2500));
   group.propose();
@@ -34,7 +35,8 @@
   return {*group.leader(), (*group.leader() + 1) % group.size()};
 }
 
-/// Brings three large entries over a narrow link, and counts its bytes.
+/// Replicates three large entries over a narrow link, and returns the bytes
+/// sent.
 std::size_t bytesOfThreeEntries(bool letsSmallBy) {
   SimulatedGroup group(3, 3, 3, 5);
   const auto [leader, follower] = begin(group);
@@ -54,7 +56,7 @@
 
 TEST_CASE("Resend_SlowLinkCarriesLargeEntriesOnce") {
   CHECK(bytesOfThreeEntries(false) < 3 * EntryBytes + SmallMessages);
-  // The answers to heartbeats that overtake an entry don't speak of it.
+  // Replies to heartbeats that overtake an entry don't acknowledge it.
   CHECK(bytesOfThreeEntries(true) < 3 * EntryBytes + SmallMessages);
 }
 
@@ -84,13 +86,14 @@
   SimulatedGroup group(3, 3, 3, 7);
   const auto [leader, follower] = begin(group);
   group.cut(leader, follower);
-  // The answers to earlier heartbeats are in by then.
+  // By then the replies to earlier heartbeats have arrived.
   group.run(milliseconds(100));
   const auto before = group.sentBytes(leader, follower);
   group.propose(EntryBytes);
   group.run(milliseconds(12000));
   const auto sent = group.sentBytes(leader, follower) - before;
-  // It still gets one now and then: it may be well again.
+  // The leader still sends one occasionally, since the member may be reachable
+  // again.
   CHECK(sent < 8 * EntryBytes);
   CHECK(sent > 3 * EntryBytes);
   group.heal();
@@ -109,7 +112,7 @@
   group.breakConnection(follower, leader);
   const auto sent = group.sentBytes(leader, follower) - before;
   CHECK(sent > 2 * EntryBytes);
-  // The repeat takes 0.8 s, and no other follows it.
+  // The resend takes 0.8 s on the link, and no other follows it.
   group.run(milliseconds(1000));
   CHECK(group.appliedIndex(follower) == group.appliedIndex(leader));
   CHECK(group.sentBytes(leader, follower) - before <
@@ -133,7 +136,8 @@
   for (int round = 0; round < 2; ++round) {
     group.cut(way.Leader, way.Follower);
     group.run(milliseconds(100));
-    // The first, the repeat 2.0 s later, and the next one 2.4 s after that.
+    // The first send, the resend 2.0 s later, and the next one 2.4 s after
+    // that.
     CHECK(copiesIn(milliseconds(1900)) == 1);
     group.run(milliseconds(300));
     CHECK(copiesIn(milliseconds(1900)) == 0);
--- a/src/consensus/tests/ReturnTest.cpp
+++ b/src/consensus/tests/ReturnTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A group of which all members were killed leads again as soon as a
-/// majority of them runs, whatever the order in which they come back.
+/// \file A group whose members were all killed has a leader again as soon as a
+/// majority of them runs, in whatever order they restart.
 
 #include "consensus/tests/SimulatedGroup.h"
 
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Members of one region, with disks as VMs have.
+/// Timing of members in one region, with the disks of VMs.
 SimulatedTiming regionTiming() {
   SimulatedTiming timing;
   timing.Step = milliseconds(1);
@@ -31,22 +31,22 @@
   return timing;
 }
 
-/// What callers can bear without a leader once a majority could have one.
+/// Maximum time without a leader that callers tolerate once a majority runs.
 constexpr Duration LeadLimit = milliseconds(150);
-/// Over which the members of a group come back.
+/// Time over which the members of a group restart.
 constexpr std::int64_t StartSpreadMs = 300;
-/// After that nothing is waited for any more.
+/// Time limit of a measurement.
 constexpr Duration Hopeless = milliseconds(3000);
 
-/// The times from when a majority runs.
+/// Times from the moment at which a majority runs.
 struct Return {
   Duration ToLeader = Hopeless;
-  /// To a majority that knows that its state is the newest.
+  /// To a majority of members with an up-to-date state.
   Duration ToFresh = Hopeless;
 };
 
-/// A group in the middle of its work, of which all members are then killed.
-/// Some had entries on their way, so that logs differ.
+/// Kills all members of a group under load. Some had entries in flight, so
+/// their logs differ.
 void killAllAtWork(SimulatedGroup &group) {
   group.run(milliseconds(2500));
   REQUIRE(group.leader());
@@ -59,7 +59,8 @@
   group.run(milliseconds(1200));
 }
 
-/// \p starts holds the times of the members that come back.
+/// Restarts the members at the times in \p starts, and measures the recovery; a
+/// negative time means never.
 Return awaitReturn(SimulatedGroup &group,
                    const std::vector<std::int64_t> &starts) {
   const std::size_t majority = group.size() / 2 + 1;
@@ -104,7 +105,7 @@
   return {at(50), at(95), at(100)};
 }
 
-/// Brings back groups of \p size, prepared by \p change before they start.
+/// Restarts groups of \p size, modified by \p change before they start.
 template <typename Change>
 void checkReturns(std::size_t size, std::uint64_t seeds, Change change) {
   std::vector<Duration> toLeader;
@@ -156,13 +157,13 @@
 }
 
 TEST_CASE("Return_OneMemberWasWiped") {
-  // Its number is another one, and it is no voter before the group leads, so
-  // the others are all that can.
+  // It gets a new number and is no voter before the group has a leader, so only
+  // the other members can vote.
   for (const std::size_t size : {3, 5})
     checkReturns(size, 100, [](auto &group, auto &starts) {
       const auto member = group.pick(starts.size());
       group.wipe(member);
-      // The majority is counted by the others.
+      // The other members form the majority.
       starts[member] = StartSpreadMs + 100;
     });
 }
@@ -174,7 +175,8 @@
       const auto other = (one + 1) % starts.size();
       group.cut(one, other);
       group.cut(other, one);
-      // A majority that lacks one link may need a member that comes later.
+      // If one link of the majority is down, it may need a member that starts
+      // later.
       for (auto &it : starts)
         it %= 4;
     });
@@ -195,7 +197,8 @@
 }
 
 TEST_CASE("Return_OneMemberIsNotHeard") {
-  // It hears the others, and has them give way, but they never get its word.
+  // The other members defer to it, since it receives their messages, but they
+  // never receive its messages.
   for (const std::size_t size : {3, 5})
     checkReturns(size, 200, [](auto &group, auto &starts) {
       const auto one = group.pick(starts.size());
@@ -218,8 +221,8 @@
 }
 
 TEST_CASE("Return_SlowDisksAndFarHallsStillElect") {
-  // Ten times slower than a region: a vote takes longer than the first pause
-  // between elections, and is counted all the same.
+  // Ten times slower than one region: a vote takes longer than the first pause
+  // between elections, and still counts.
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     CAPTURE(seed);
     auto timing = regionTiming();
--- a/src/consensus/tests/SimulatedGroup.cpp
+++ b/src/consensus/tests/SimulatedGroup.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// What goes beside a line that lets small messages by.
+/// Largest message that bypasses a link with a bypass for small ones.
 constexpr std::size_t SmallBytes = 16 << 10;
 
 std::uint64_t firstNumber(std::size_t member) { return 1000 + member; }
@@ -113,7 +113,8 @@
                             !Cuts.contains({member, i});
     if (!isPossible || Connections.contains({member, i}))
       continue;
-    // A round trip opens it, and one more message names its opener.
+    // A round trip opens the connection, and one more message identifies the
+    // side that opened it.
     const Duration there = draw(Timing.LeastDelay, Timing.MostDelay);
     const Duration back = draw(Timing.LeastDelay, Timing.MostDelay);
     Event own;
@@ -140,7 +141,7 @@
 }
 
 void SimulatedGroup::kill(std::size_t member) {
-  // NOTE: what was not synced yet is gone with the events of this life.
+  // NOTE: unsynced records are lost with the events of this incarnation.
   Members[member].Node.reset();
   ++Lives[member];
   std::erase_if(Connections, [&](const auto &it) {
@@ -278,7 +279,7 @@
     if (effects.Ticket != 0) {
       auto records = effects.MustRewrite ? it.Node->allRecords()
                                          : std::move(effects.Records);
-      // The disk works in turn.
+      // The disk handles one write after the other.
       auto &freeAt = DiskFreeAt[member];
       freeAt = std::max({freeAt, Now, it.DiskStalledUntil}) +
                draw(Timing.LeastSync, Timing.MostSync);
--- a/src/consensus/tests/SimulatedGroup.h
+++ b/src/consensus/tests/SimulatedGroup.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A control group in one process: members, disks that lose what was not
-/// synced, and a network that delays, drops and cuts, all from one seed.
+/// \file A control group in one process: members, disks that lose unsynced
+/// records, and a network that delays and drops messages, all from one seed.
 
 #ifndef STEPLEDGE_CONSENSUS_TESTS_SIMULATEDGROUP_H
 #define STEPLEDGE_CONSENSUS_TESTS_SIMULATEDGROUP_H
@@ -19,7 +19,7 @@
 
 namespace stepledge::consensus::tests {
 
-/// The records that survive a loss of power, as those on a real disk.
+/// The records that survive a power loss.
 struct SimulatedDisk {
   std::vector<wire::Record> Synced;
   bool IsEmpty = true;
@@ -29,7 +29,7 @@
   std::string Ip;
   SimulatedDisk Disk;
   std::unique_ptr<ConsensusNode> Node;
-  /// What the applied entries have built: their commands, in order.
+  /// Commands of the applied entries, in order.
   std::vector<std::string> Applied;
   std::uint64_t AppliedIndex = 0;
   TimePoint DiskStalledUntil{};
@@ -37,24 +37,24 @@
   std::size_t VotesAsked = 0;
 };
 
-/// A narrow way from one member to another.
+/// A link of limited bandwidth from one member to another.
 struct SimulatedLine {
   double BytesPerSecond = 0;
   bool LetsSmallBy = false;
   TimePoint FreeAt{};
 };
 
-/// How quick the network, the disks and the members' own turns are.
+/// Timing of the network, the disks and the members' timers.
 struct SimulatedTiming {
   Duration Step = milliseconds(10);
-  /// A member looks at its timers so often, each at a time of its own.
+  /// Interval of a member's timer ticks; each member has its own phase.
   Duration TickInterval = milliseconds(10);
   Duration LeastDelay = milliseconds(1);
   Duration MostDelay = milliseconds(20);
   Duration LeastSync = milliseconds(2);
   Duration MostSync = milliseconds(15);
-  /// A message goes over a connection, which members that run open, and are
-  /// told of; else there is always a way.
+  /// Messages need a connection, which running members open and are notified
+  /// of; otherwise every message has a path.
   bool HasConnections = false;
 };
 
@@ -76,20 +76,20 @@
   /// Messages from \p from to \p to are dropped.
   void cut(std::size_t from, std::size_t to) { Cuts.insert({from, to}); }
   void heal();
-  /// Messages are dropped though a connection comes up.
+  /// Messages are dropped, but connections open.
   void mute(std::size_t from, std::size_t to) { Mutes.insert({from, to}); }
   void setLoss(double share) { Loss = share; }
-  /// Messages from \p from to \p to go through a line of \p bytesPerSecond, in
-  /// turn; small ones beside it where \p letsSmallBy.
+  /// Messages from \p from to \p to share a link of \p bytesPerSecond, in
+  /// order; small ones bypass it if \p letsSmallBy.
   void narrow(std::size_t from, std::size_t to, double bytesPerSecond,
               bool letsSmallBy);
-  /// What is on its way between the two is lost, and both are told so.
+  /// Messages in flight between the two are lost, and both are notified.
   void breakConnection(std::size_t one, std::size_t other);
-  /// Snapshots from now on hold as many bytes more.
+  /// Snapshots from now on have this many bytes more.
   void setStateBytes(std::size_t bytes) { StateBytes = bytes; }
-  /// All that \p from has given away for \p to, whether or not it arrived.
+  /// Bytes that \p from has sent to \p to, whether or not they arrived.
   std::size_t sentBytes(std::size_t from, std::size_t to) const;
-  /// How often the member has asked for votes.
+  /// Number of vote requests that the member has sent.
   std::size_t votesAsked(std::size_t member) const {
     return Members[member].VotesAsked;
   }
@@ -97,12 +97,12 @@
     return Members[member].AppliedIndex;
   }
 
-  /// Proposes a new command at whoever leads, with \p bytes of filling.
+  /// Proposes a new command at each leader, with \p bytes of padding.
   void propose(std::size_t bytes = 0);
   void read();
   std::optional<std::size_t> leader() const;
   TimePoint now() const { return Now; }
-  /// The members whose state a majority stands behind.
+  /// Number of members that have the state of a majority.
   std::size_t freshCount() const;
   bool isRunning(std::size_t member) const {
     return Members[member].Node != nullptr;
@@ -112,7 +112,7 @@
   const wire::Membership &voters(std::size_t member) const {
     return Members[member].Node->membership();
   }
-  /// The first thing that went wrong, if anything did.
+  /// The last violation of an invariant, or empty.
   const std::string &fault() const { return Fault; }
   std::mt19937_64 &random() { return Random; }
   std::size_t pick(std::size_t n) { return Random() % n; }
@@ -121,32 +121,32 @@
   struct Event {
     TimePoint At{};
     std::uint64_t Order = 0;
-    /// Whose message or disk it is.
+    /// Receiver of the message, or owner of the disk.
     std::size_t Member = 0;
     std::uint64_t Life = 0;
     std::optional<wire::Message> Message;
     std::uint64_t Ticket = 0;
     std::vector<wire::Record> Records;
     bool IsRewrite = false;
-    /// The sender of the message.
+    /// Sender of the message.
     std::size_t From = 0;
-    /// The member hears that it is connected to From.
+    /// The member is notified of its connection to From.
     bool IsConnection = false;
   };
 
   void deliver(Event event);
-  /// \p member opens connections to all that run and have none to it.
+  /// Opens connections from \p member to all running members without one to it.
   void connect(std::size_t member);
   bool isConnected(std::size_t from, std::size_t to) const {
     return !Timing.HasConnections || Connections.contains({from, to});
   }
-  /// Nobody else leads in a leader's term.
+  /// Checks that each term has at most one leader.
   void checkLeaders();
-  /// A vote that is told stands on the disk of \p member.
+  /// Checks that a sent vote is on the disk of \p member.
   void checkVote(std::size_t member, const wire::Message &message);
   void runEffects(std::size_t member);
   void apply(std::size_t member, const wire::Entry &entry);
-  /// When a message that is sent now comes out of the pair's line.
+  /// Arrival time of a message that is sent now.
   TimePoint arrivalOf(const std::pair<std::size_t, std::size_t> &pair,
                       std::size_t bytes);
   std::string stateAt(std::uint64_t index) const;
@@ -165,7 +165,7 @@
   std::set<std::pair<std::size_t, std::size_t>> Cuts;
   std::set<std::pair<std::size_t, std::size_t>> Mutes;
   SimulatedTiming Timing;
-  /// From the one that may send to the other.
+  /// By sender and receiver.
   std::set<std::pair<std::size_t, std::size_t>> Connections;
   std::vector<Duration> TickPhases;
   std::map<std::uint64_t, MemberNumber> LeaderOfTerm;
@@ -173,7 +173,7 @@
   std::map<std::pair<std::size_t, std::size_t>, SimulatedLine> Lines;
   std::map<std::pair<std::size_t, std::size_t>, std::size_t> SentBytes;
   std::size_t StateBytes = 0;
-  /// By index, what some member has applied first.
+  /// By index, the command that a member applied first.
   std::map<std::uint64_t, std::string> Committed;
   std::map<std::uint64_t, ReadCheck> Reads;
   std::uint64_t LastRead = 0;
--- a/src/consensus/types/ConsensusOptions.h
+++ b/src/consensus/types/ConsensusOptions.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The timing and sizes of the control group's log.
+/// \file Timing and size limits of the control group's replicated log.
 
 #ifndef STEPLEDGE_CONSENSUS_TYPES_CONSENSUSOPTIONS_H
 #define STEPLEDGE_CONSENSUS_TYPES_CONSENSUSOPTIONS_H
@@ -13,63 +13,67 @@
 namespace stepledge::consensus {
 
 struct ConsensusOptions {
-  /// The leader's heartbeat; some ten round trips between halls.
+  /// Interval of the leader's heartbeats; some ten round trips between halls.
   Duration HeartbeatInterval = milliseconds(100);
-  /// The least silence after which a follower stands for election; a draw of
-  /// up to as much again is added. Five heartbeats, so that one slow turn of
-  /// a small processor doesn't depose a leader.
+  /// Minimum time without a message of the leader after which a follower starts
+  /// a pre-vote; a random time of up to as much again is added. Five
+  /// heartbeats, so that one slow event loop turn on a small processor doesn't
+  /// depose a leader.
   Duration ElectionTimeout = milliseconds(500);
-  /// After a start, until a leader is heard, a trial vote follows the last one
-  /// after a pause between these two, where no connection that came up brought
-  /// one before: far enough apart for two round trips and a turn of the timers.
-  /// Longer pauses only delay a group of which one member hears nobody.
+  /// Range of the pause between pre-votes after a start, until the first
+  /// message of a leader arrives; a new connection to a voter starts one
+  /// earlier. Long enough for two round trips and a timer tick. Longer pauses
+  /// would only delay groups in which one member receives no messages.
   Duration LeastFirstTrial = milliseconds(40);
   Duration MostFirstTrial = milliseconds(120);
-  /// For so long after a connection to another voter came up, members that
-  /// know of no leader stand for election in order: the newest log first, then
-  /// the lowest number. Also for so long a member holds back for one that it
-  /// has let go first; then that one has had its turn, and the others go in
-  /// order without it. That is a trial, a vote and the first entry with two
-  /// syncs each, some ten round trips within a region; the next trial after it
-  /// still comes before callers give up.
+  /// For this time after a connection to another voter opens, members that have
+  /// no leader become candidates in order: the newest log first, then the
+  /// lowest number. A member that deferred to an earlier one waits for the same
+  /// time; after it the earlier one has had its turn, and the others continue
+  /// in order without it. The time covers a pre-vote, a vote and the first
+  /// entry with two syncs each, some ten round trips within a region; the next
+  /// pre-vote after it still comes before callers give up.
   Duration OrderTime = milliseconds(60);
-  /// After a start, until a leader is heard, the least time from the first
-  /// election to the next trial; a draw of up to as much again is added. After
-  /// that it is ElectionTimeout: votes that weren't counted by then wait for
-  /// slow disks, and a next election would make them vain. A pause that
-  /// only doubles is too short for them.
+  /// After a start, until the first message of a leader arrives: the minimum
+  /// time from the first election to the next pre-vote; a random time of up to
+  /// as much again is added. After that election it is ElectionTimeout: votes
+  /// that were not counted by then wait for slow disks, and another election
+  /// would void them. A pause that only doubles is too short for them.
   Duration FirstElectionTimeout = milliseconds(60);
-  /// A voter that is silent for longer may be replaced by a caught-up spare.
+  /// A voter that has not replied for longer may be replaced by a caught-up
+  /// spare.
   Duration ReplaceAfter = milliseconds(3000);
-  /// A member that answered within this time counts as alive.
+  /// A member that replied within this time counts as alive.
   Duration AliveLimit = milliseconds(1000);
-  /// A voter that hears no leader for so long asks to join as a spare does: it
-  /// may have been replaced while it was out of reach. Longer than elections
-  /// take. Without it such a voter never got an entry again.
+  /// A voter that has no leader for this time asks to join as a spare does: it
+  /// may have been replaced while it was unreachable, and would never receive
+  /// an entry again. Longer than elections take.
   Duration RejoinAfter = milliseconds(2000);
-  /// A spare that stopped asking is forgotten.
+  /// A spare without a join request for this time is removed.
   Duration SpareLifetime = milliseconds(3000);
-  /// How many voters the group should have: 2f + 1.
+  /// Number of voters the group keeps: 2f + 1.
   int TargetVoters = 3;
-  /// Entries kept behind a snapshot, so that a member that was away for a
-  /// moment needs no whole state.
+  /// Entries kept behind a snapshot, so that a member that was unreachable for
+  /// a moment doesn't need the full state.
   std::uint64_t EntriesKept = 64;
   /// A snapshot is taken when this many entries or bytes have been applied.
   std::uint64_t SnapshotEntries = 128;
   std::uint64_t SnapshotBytes = 1 << 20;
-  /// Bytes of entries in one message; larger ones go alone.
+  /// Maximum bytes of entries in one message; a larger entry is sent alone.
   std::uint64_t BatchBytes = 256 << 10;
   /// An unanswered batch or snapshot is sent again after this time, then after
-  /// twice as long each time, up to the longest. A message is lost with its
-  /// connection only, and then it is sent again at once; so a late answer means
-  /// a slow link, on which a copy stands in front of all that follows.
+  /// twice as long each time, up to LongestResend. A message is lost only with
+  /// its connection, and then it is sent again at once; a late reply therefore
+  /// means a slow link, on which a copy delays everything behind it.
   Duration ResendAfter = milliseconds(400);
-  /// A member that was unreachable without losing its connection waits for its
-  /// entries for as long: under ReplaceAfter, which would have it replaced.
+  /// Maximum time that a member which was unreachable without losing its
+  /// connection waits for its entries. Below ReplaceAfter, which would have it
+  /// replaced.
   Duration LongestResend = milliseconds(1600);
-  /// Each time is longer by what its bytes take at this rate: half of that of
-  /// the narrowest links between VMs. Without it three entries of 205 KB each
-  /// took 1,233 KB of such a link (250 KB/s), with it 619 KB.
+  /// Each resend time is extended by the time that its bytes take at this rate:
+  /// half the rate of the narrowest links between VMs. Without it, three
+  /// entries of 205 KB each took 1,233 KB of such a link (250 KB/s) instead of
+  /// 619 KB.
   std::uint64_t LeastBytesPerSecond = 125'000;
 };
 
--- a/src/distribution/ChangeCodec.cpp
+++ b/src/distribution/ChangeCodec.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// All of a route but its database.
+/// All settings of a route except its database.
 auto settingsOf(const Route &route) {
   return std::make_tuple(route.Service, route.Policy, route.StatementTimeout,
                          route.LatencyObjective, route.MaxStaleness,
@@ -87,7 +87,7 @@
   out.set_has_organisations(change.HasOrganisations);
 }
 
-/// False where a key is no digest.
+/// False if a key is not a digest.
 bool decodeOrganisations(const wire::Change &in, ConfigurationChange &change) {
   for (const auto &it : in.organisations()) {
     control::Organisation organisation;
--- a/src/distribution/ChangeCodec.h
+++ b/src/distribution/ChangeCodec.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Changes of the configuration as bytes.
+/// \file Encoding of configuration deltas.
 
 #ifndef STEPLEDGE_DISTRIBUTION_CHANGECODEC_H
 #define STEPLEDGE_DISTRIBUTION_CHANGECODEC_H
@@ -13,10 +13,10 @@
 
 namespace stepledge::distribution {
 
-/// The same bytes for the same change.
+/// Returns the same bytes for equal deltas.
 std::string encodeChange(const ConfigurationChange &change);
 
-/// Nothing where \p bytes are no change.
+/// Returns nothing if \p bytes can't be decoded.
 std::optional<ConfigurationChange> decodeChange(const std::string &bytes);
 
 } // namespace stepledge::distribution
--- a/src/distribution/ConfigurationFetch.cpp
+++ b/src/distribution/ConfigurationFetch.cpp
@@ -14,8 +14,8 @@
                                std::uint64_t held) {
   if (now < NotBefore)
     return false;
-  // NOTE: an answer that is on its way is never asked for again: on a narrow
-  // link the copies take the room of all else, and none arrives in time.
+  // NOTE: a part in flight is never requested again: on a narrow link, the
+  // copies take all bandwidth, and none arrives in time.
   const bool isUnderWay = !Ip.empty();
   const Duration limit = ip == Ip ? 2 * Patience : Patience;
   if (isUnderWay && behind(now) <= limit)
--- a/src/distribution/ConfigurationFetch.h
+++ b/src/distribution/ConfigurationFetch.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file An entry VM's side of getting configurations: one fetch at a time, one
-/// part of it on its way.
+/// \file Fetches configurations on an entry VM: one fetch at a time, with one
+/// part in flight.
 
 #ifndef STEPLEDGE_DISTRIBUTION_CONFIGURATIONFETCH_H
 #define STEPLEDGE_DISTRIBUTION_CONFIGURATIONFETCH_H
@@ -17,65 +17,67 @@
 
 namespace stepledge::distribution {
 
-/// How a part was taken.
+/// Result of a received part.
 enum class PartResult {
-  /// Of a fetch that was given up.
+  /// The part doesn't belong to the current fetch.
   Unexpected,
-  /// More is to come.
+  /// More parts are expected.
   Taken,
-  /// The whole change is there, and could be read.
+  /// The delta is complete and was decoded.
   Complete,
-  /// The whole is there, and can't be read.
+  /// The delta is complete and can't be decoded.
   Unreadable,
 };
 
 class ConfigurationFetch {
 public:
-  /// A fetch that is behind SlowestPace by more than this begins anew, at
-  /// another control VM if one speaks: some sixty times what a part takes on a
-  /// link of 2 Mbit/s. Each one that begins anew may be twice as far behind, so
-  /// that repeats can't fill a link that is slower than the pace.
+  /// A fetch that is behind SlowestPace by more than this starts again, at
+  /// another control VM if one is announced; it is some sixty times the
+  /// transfer time of a part on a link of 2 Mbit/s. The limit doubles with each
+  /// such restart, so that repeats can't fill a link that is slower than
+  /// SlowestPace.
   static constexpr Duration FirstPatience = milliseconds(1000);
   static constexpr Duration LongestPatience = milliseconds(8000);
-  /// Bytes a second: a quarter of a link of 2 Mbit/s. A control VM that sent a
-  /// part of 4 KB each 0.9 s was kept for 11.7 s while another could have sent
-  /// all 13 parts within 0.3 s (simulated).
+  /// Bytes per second: a quarter of a link of 2 Mbit/s. Without it, a control
+  /// VM that sent a part of 4 KB each 0.9 s was kept for 11.7 s, while another
+  /// one could have sent all 13 parts within 0.3 s.
   static constexpr std::int64_t SlowestPace = 64 << 10;
 
   explicit ConfigurationFetch(peer::IPeerSender &peers) : Peers(peers) {}
 
-  /// Asks the control VM at \p ip for what leads on from \p held, unless a
-  /// fetch is under way or it is too early after one that was of no use; true
-  /// where it asked.
+  /// Requests the delta from version \p held at the control VM at \p ip. False
+  /// if a fetch that isn't too far behind is in progress, or the delay after a
+  /// rejected delta isn't over.
   bool start(TimePoint now, const std::string &ip, std::uint64_t held);
   PartResult take(const std::string &ip,
                   const peer::wire::ConfigurationPart &part);
-  /// The change of the last take() that was complete.
+  /// The delta of the last take() that returned Complete.
   const ConfigurationChange &change() const { return Change; }
-  /// That change fits what the VM holds.
+  /// The delta was applied.
   void accept() { Patience = FirstPatience; }
-  /// It doesn't: the next fetch waits for the patience, and for twice as long
-  /// after each further one. Without a pause, 240 of them went over the link in
-  /// 10 s where six control VMs spoke each 250 ms (simulated).
+  /// The delta could not be applied: the next fetch waits for Patience, and
+  /// twice as long after each further rejection. Without this delay, 240
+  /// fetches went over the link in 10 s when six control VMs announced their
+  /// versions each 250 ms.
   void reject(TimePoint now);
-  /// The connection to \p ip is gone, and what it was sending.
+  /// The connection to \p ip was lost, which ends a fetch from there.
   void lost(const std::string &ip);
 
 private:
   void ask();
   void finish() { Ip.clear(); }
   void waitLonger();
-  /// How far the fetch is behind the slowest pace that is accepted.
+  /// Time by which the fetch is behind SlowestPace.
   Duration behind(TimePoint now) const;
 
   peer::IPeerSender &Peers;
-  /// The control VM that is asked; empty while none is.
+  /// Address of the control VM of the current fetch; empty without one.
   std::string Ip;
   std::uint64_t Fetch = 0;
   std::uint64_t Held = 0;
   std::string Received;
   TimePoint StartedAt{};
-  /// After a change that was of no use.
+  /// Earliest time of the next fetch after a rejected delta.
   TimePoint NotBefore{};
   Duration Patience = FirstPatience;
   ConfigurationChange Change;
--- a/src/distribution/ConfigurationHistory.cpp
+++ b/src/distribution/ConfigurationHistory.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Changes that are kept: some minutes of an operator's quickest series, longer
-/// than an entry VM is away without a restart.
+/// Maximum number of deltas: some minutes of an operator's quickest series of
+/// changes, longer than an entry VM is away without a restart.
 constexpr std::size_t MostSteps = 64;
 
 } // namespace
@@ -23,8 +23,8 @@
   StepRoutes += Steps.back().size();
   Newest = std::move(configuration);
   Encoded.clear();
-  // NOTE: steps that name more routes than there are would be no shorter than
-  // the whole, so they needn't be kept.
+  // NOTE: deltas that contain more routes than the configuration are no shorter
+  // than the full configuration, so they aren't kept.
   while (Steps.size() > MostSteps || StepRoutes > Newest.Routes.size()) {
     StepRoutes -= Steps.front().size();
     Steps.pop_front();
--- a/src/distribution/ConfigurationHistory.h
+++ b/src/distribution/ConfigurationHistory.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The newest configuration, and what leads to it from the ones before.
+/// \file The newest configuration, and the deltas to it from earlier versions.
 
 #ifndef STEPLEDGE_DISTRIBUTION_CONFIGURATIONHISTORY_H
 #define STEPLEDGE_DISTRIBUTION_CONFIGURATIONHISTORY_H
@@ -18,27 +18,30 @@
 
 class ConfigurationHistory {
 public:
-  /// Takes \p configuration, whose version is above the newest one's.
+  /// Adds \p configuration, whose version must be above the newest one.
   void take(control::Configuration configuration);
   const control::Configuration &newest() const { return Newest; }
 
-  /// The encoded change to the newest for one who holds \p version: from there
-  /// if that is known and shorter than the whole.
+  /// Returns the encoded delta from \p version to the newest configuration; the
+  /// full configuration if that version is unknown or the delta isn't shorter.
   std::shared_ptr<const std::string> changeFrom(std::uint64_t version);
 
 private:
   using StepIterator = std::deque<ConfigurationChange>::const_iterator;
 
-  /// The change that begins with the step \p first; the whole at the end.
+  /// Encodes the deltas from \p first on as one; the full configuration if \p
+  /// first is the end.
   std::string encodeFrom(const StepIterator &first) const;
 
   control::Configuration Newest;
-  /// Each starts where the one before ends; the last ends at the newest.
+  /// Each delta starts at the version where the previous one ends; the last one
+  /// ends at the newest version.
   std::deque<ConfigurationChange> Steps;
-  /// How many routes they name in all.
+  /// Total number of routes in Steps.
   std::size_t StepRoutes = 0;
-  /// By the version they start from, changes to the newest that were asked for;
-  /// one whole for all versions that aren't known.
+  /// Requested encoded deltas to the newest configuration by the version they
+  /// start from; 0 for the full configuration, which serves all unknown
+  /// versions.
   std::map<std::uint64_t, std::shared_ptr<const std::string>> Encoded;
 };
 
--- a/src/distribution/ConfigurationSender.h
+++ b/src/distribution/ConfigurationSender.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A control VM's side of bringing configurations to entry VMs: changes
-/// in small parts, each asked for by its receiver.
+/// \file Sends configurations from a control VM to entry VMs: deltas in small
+/// parts, each requested by its receiver.
 
 #ifndef STEPLEDGE_DISTRIBUTION_CONFIGURATIONSENDER_H
 #define STEPLEDGE_DISTRIBUTION_CONFIGURATIONSENDER_H
@@ -20,9 +20,9 @@
 
 class ConfigurationSender {
 public:
-  /// Bytes of a change in one message. On a link of 2 Mbit/s it takes 16 ms,
-  /// which heartbeats and clients' statements may have to wait; whole documents
-  /// made them wait 780 ms (simulated link).
+  /// Bytes of a delta in one message. On a link of 2 Mbit/s it takes 16 ms, by
+  /// which it may delay heartbeats and clients' statements; full documents
+  /// delayed them by 780 ms.
   static constexpr std::size_t PartBytes = 4096;
 
   void take(control::Configuration configuration) {
@@ -30,11 +30,11 @@
   }
   const control::Configuration &newest() const { return History.newest(); }
 
-  /// The part that the VM at \p ip asks for; nothing where it needs none.
+  /// Returns the part that the VM at \p ip requests; nothing if it needs none.
   std::optional<peer::wire::ConfigurationPart>
   answer(const std::string &ip,
          const peer::wire::ConfigurationRequest &request);
-  /// The VM at \p ip has gone.
+  /// Removes the transfer to the VM at \p ip, which has gone.
   void forget(const std::string &ip) { Transfers.erase(ip); }
 
 private:
@@ -44,8 +44,8 @@
   };
 
   ConfigurationHistory History;
-  /// By entry VM, the change that it is getting: a newer configuration doesn't
-  /// cut it off, or quick changes would let none come through.
+  /// By entry VM, the delta in transfer: a newer configuration doesn't abort
+  /// it, or frequent changes would let no delta complete.
   std::map<std::string, Transfer> Transfers;
 };
 
--- a/src/distribution/tests/ConfigurationChangeTest.cpp
+++ b/src/distribution/tests/ConfigurationChangeTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Changes between configurations, and their bytes.
+/// \file Deltas between configurations, and their encoding.
 
 #include "distribution/ChangeCodec.h"
 
@@ -23,7 +23,7 @@
   return *decodeRouteList(routeListDocument(version, count, timeoutMs));
 }
 
-/// Some routes and services, drawn by \p random.
+/// Returns random routes and services.
 Configuration drawn(std::uint64_t version, std::mt19937_64 &random) {
   const auto pick = [&random](int n) {
     return std::uniform_int_distribution<int>(0, n - 1)(random);
@@ -88,7 +88,7 @@
   auto held = routes(3, 10);
   const auto change = changeBetween(routes(4, 10), routes(5, 12));
   CHECK(!applyChange(held, change));
-  // The same version with another content shows by the digest.
+  // The digest shows that the same version has different content.
   auto other = routes(4, 10, 900);
   CHECK(!applyChange(other, changeBetween(routes(4, 11), routes(5, 12))));
 }
@@ -104,9 +104,9 @@
 }
 
 TEST_CASE("ConfigurationChange_SizeBenchmark") {
-  // As operators send them, 1,400 routes take 260 KB, and so did each change to
-  // them on its way to an entry VM. Now 17 KB go there, and 28 bytes for one
-  // changed route among them.
+  // In the operators' document, 1,400 routes take 260 KB, and each change once
+  // sent as much to an entry VM. Encoded they take 17 KB, and one changed route
+  // among them takes 28 bytes.
   const std::string document = routeListDocument(2, 1400);
   const auto whole = encodeChange(changeBetween({}, routes(2, 1400)));
   CHECK(document.size() > 250'000);
@@ -143,7 +143,8 @@
   std::string bytes = encodeChange(change);
   const auto at = bytes.find(KeyDigest::of("k").toBytes());
   REQUIRE(at != std::string::npos);
-  // One byte less in the key, the organisation and its field.
+  // Removes one byte from the key, and adjusts the lengths of the key and of
+  // the organisation.
   bytes.erase(at, 1);
   --bytes[at - 1];
   --bytes[at - 6];
--- a/src/distribution/tests/ConfigurationHistoryTest.cpp
+++ b/src/distribution/tests/ConfigurationHistoryTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What leads to the newest configuration from the ones before.
+/// \file Deltas to the newest configuration from earlier ones.
 
 #include "distribution/ConfigurationHistory.h"
 
@@ -65,7 +65,7 @@
 TEST_CASE("ConfigurationHistory_KeepsNoMoreThanTheWholeWouldTake") {
   ConfigurationHistory history;
   history.take(routes(1, 100));
-  // Each replaces all routes' names but for what both lists share.
+  // Each configuration removes or adds all routes outside the shared ones.
   history.take(routes(2, 20));
   history.take(routes(3, 100));
   CHECK(changeFrom(history, 1).From == 0);
--- a/src/distribution/tests/ConfigurationTransferTest.cpp
+++ b/src/distribution/tests/ConfigurationTransferTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A change on its way from a control VM to an entry VM, part by part.
+/// \file Transfer of a delta from a control VM to an entry VM, part by part.
 
 #include "distribution/ConfigurationFetch.h"
 #include "distribution/ConfigurationSender.h"
@@ -27,7 +27,7 @@
   return *decodeRouteList(routeListDocument(version, count));
 }
 
-/// Keeps the requests of a fetch.
+/// Records the requests of a fetch.
 struct Requests : public peer::IPeerSender {
   bool send(const std::string &ip,
             const peer::wire::Message &message) override {
@@ -42,7 +42,7 @@
 struct Fixture {
   Fixture() { Sender.take(routes(4, 2000)); }
 
-  /// The sender's answer to the oldest request.
+  /// Returns the sender's answer to the oldest request.
   peer::wire::ConfigurationPart answer() {
     REQUIRE(!Out.Sent.empty());
     const auto request = Out.Sent.front().second;
@@ -91,9 +91,9 @@
   it.Now += milliseconds(1001);
   CHECK(it.Fetch.start(it.Now, OtherIp, 0));
   CHECK(it.Out.Sent.back().first == OtherIp);
-  // Its late answer is none to the new question.
+  // The late answer of the first control VM doesn't belong to the new fetch.
   CHECK(it.exchange() == PartResult::Unexpected);
-  // The next one is waited for twice as long.
+  // The next control VM gets twice as long.
   it.Now += milliseconds(1500);
   CHECK(!it.Fetch.start(it.Now, SenderIp, 0));
   it.Now += milliseconds(600);
@@ -135,7 +135,7 @@
     it.Fetch.lost(it.Out.Sent.back().first);
     it.Fetch.reject(it.Now);
   }
-  // In ten seconds, after 1, 2, 4 and 8 of them.
+  // At most four fetches in ten seconds, with pauses of 1, 2, 4 and 8 s.
   CHECK(fetches <= 4);
   it.Fetch.accept();
   it.Now += milliseconds(8000);
--- a/src/distribution/types/ConfigurationChange.cpp
+++ b/src/distribution/types/ConfigurationChange.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Fills in what of \p to is new or other than in \p from, and what it lacks.
+/// Sets the entries of \p to that are new or different from \p from, and the
+/// removed ones.
 template <typename Key, typename Value>
 void compare(const std::map<Key, Value> &from, const std::map<Key, Value> &to,
              std::map<Key, Value> &changed, std::set<Key> &removed) {
--- a/src/distribution/types/ConfigurationChange.h
+++ b/src/distribution/types/ConfigurationChange.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What leads from one configuration to a later one.
+/// \file The delta between two versions of the configuration.
 
 #ifndef STEPLEDGE_DISTRIBUTION_TYPES_CONFIGURATIONCHANGE_H
 #define STEPLEDGE_DISTRIBUTION_TYPES_CONFIGURATIONCHANGE_H
@@ -17,10 +17,10 @@
 namespace stepledge::distribution {
 
 struct ConfigurationChange {
-  /// The version that it starts from; 0 where it holds a whole configuration.
+  /// Version that the delta applies to; 0 for a full configuration.
   std::uint64_t From = 0;
   std::uint64_t To = 0;
-  /// New routes, and those that have changed.
+  /// New and changed routes.
   std::map<DatabaseId, control::Route> Routes;
   std::set<DatabaseId> RemovedRoutes;
   std::map<std::string, control::ServiceSettings> Services;
@@ -29,26 +29,28 @@
   std::set<OrganisationId> RemovedOrganisations;
   bool HasOrganisations = false;
   Duration TransactionIdleLimit{};
-  /// Of the configuration that it leads to.
+  /// Digest of the resulting configuration.
   std::uint64_t Digest = 0;
 
-  /// How many routes it names.
+  /// Number of changed and removed routes.
   std::size_t size() const { return Routes.size() + RemovedRoutes.size(); }
 };
 
-/// The change from \p from, which may be empty, to \p to.
+/// Returns the delta from \p from, which may be empty, to \p to.
 ConfigurationChange changeBetween(const control::Configuration &from,
                                   const control::Configuration &to);
 
-/// Lets \p change go on with \p next, which starts where \p change ends.
+/// Extends \p change by \p next, which starts at the version where \p change
+/// ends.
 void extendChange(ConfigurationChange &change, const ConfigurationChange &next);
 
-/// False where \p configuration isn't what the change starts from, or where the
-/// result isn't what its sender holds; \p configuration is then of no use.
+/// Applies \p change. False if \p configuration isn't the version that the
+/// delta starts from, or the result differs from the sender's configuration; \p
+/// configuration is then unusable.
 bool applyChange(control::Configuration &configuration,
                  const ConfigurationChange &change);
 
-/// Alike for configurations that are alike, whichever VM computes it.
+/// Returns the same digest for equal configurations on every VM.
 std::uint64_t digestOf(const control::Configuration &configuration);
 
 } // namespace stepledge::distribution
