--- a/src/consensus/ConsensusNode.cpp
+++ b/src/consensus/ConsensusNode.cpp
@@ -21,7 +21,7 @@
   if (Base.index() > 0)
     Pending.Restored = Base;
   recomputeVoters();
-  resetTrialTimer(now);
+  resetPreVoteTimer(now);
 }
 
 bool ConsensusNode::isVoter(MemberNumber number) const {
@@ -88,13 +88,14 @@
   ElectionAt = now + least + Duration(extra(Random));
 }
 
-void ConsensusNode::resetTrialTimer(TimePoint now) {
+void ConsensusNode::resetPreVoteTimer(TimePoint now) {
   // NOTE: after a start no leader is known, and a pre-vote doesn't disturb one,
   // so pre-votes come early until the first message of a leader.
   if (LeaderContact > TimePoint{})
     return resetElectionTimer(now);
   std::uniform_int_distribution<std::int64_t> pause(
-      Options.LeastFirstTrial.count(), Options.MostFirstTrial.count());
+      Options.MinStartupPreVotePause.count(),
+      Options.MaxStartupPreVotePause.count());
   ElectionAt = now + Duration(pause(Random));
 }
 
@@ -109,7 +110,7 @@
     return;
   }
   if (now >= ElectionAt && isVoter())
-    startTrial(now);
+    startPreVote(now);
 }
 
 void ConsensusNode::receive(TimePoint now, const wire::Message &message) {
@@ -124,7 +125,7 @@
     return;
   // NOTE: a pre-vote's term is one that no member has entered, but a refused
   // pre-vote has its sender's own term, which may be newer.
-  const bool isTrial =
+  const bool isPreVote =
       (message.has_vote_request() && message.vote_request().is_trial()) ||
       (message.has_vote_reply() && message.vote_reply().is_trial() &&
        message.vote_reply().granted());
@@ -135,10 +136,10 @@
   if (message.has_vote_request() && hasLeader)
     return;
   // NOTE: the member that got its vote may become leader in a moment.
-  if (message.has_vote_request() && isTrial && now < VoteHoldsUntil)
+  if (message.has_vote_request() && isPreVote && now < VoteProtectedUntil)
     return;
-  const bool isBehind = message.term() > Term && !isTrial;
-  if (isBehind)
+  const bool hasNewerTerm = message.term() > Term && !isPreVote;
+  if (hasNewerTerm)
     becomeFollower(now, message.term());
   if (message.has_vote_request())
     onVoteRequest(now, message);
@@ -152,8 +153,8 @@
     onSnapshotRequest(now, message);
   // NOTE: the pre-vote was refused only for its old term, which is up to date
   // now.
-  if (isBehind && message.has_vote_reply() && mayStandNow(now))
-    startTrial(now);
+  if (hasNewerTerm && message.has_vote_reply() && canStartPreVote(now))
+    startPreVote(now);
 }
 
 void ConsensusNode::becomeFollower(TimePoint now, std::uint64_t term) {
@@ -173,7 +174,7 @@
 void ConsensusNode::becomeLeader(TimePoint now) {
   Role = MemberRole::Leader;
   // NOTE: a late vote doesn't restore a lost leadership.
-  StoodIn = 0;
+  CandidateTerm = 0;
   Leader.reset();
   LeaderContact = now;
   HeartbeatAt = now;
@@ -184,7 +185,7 @@
     auto &progress = Others[it.number()];
     progress.Member = it;
     progress.Next = lastIndex() + 1;
-    progress.HeardAt = now;
+    progress.LastReplyAt = now;
   }
   wire::Entry first;
   append(std::move(first));
@@ -273,7 +274,8 @@
     return send(ip, to, std::move(message));
   message.set_from(Self.number());
   message.set_to(to);
-  HeldMessages.emplace_back(needed, OutgoingMessage{ip, std::move(message)});
+  MessagesAwaitingSync.emplace_back(needed,
+                                    OutgoingMessage{ip, std::move(message)});
 }
 
 Effects ConsensusNode::takeEffects() {
@@ -294,12 +296,13 @@
     if (termAt(point.Index) == point.Term && point.Index >= Base.index())
       DurableIndex = std::max(DurableIndex, point.Index);
   }
-  while (!HeldMessages.empty() && HeldMessages.front().first <= ticket) {
-    auto held = std::move(HeldMessages.front().second);
-    HeldMessages.pop_front();
+  while (!MessagesAwaitingSync.empty() &&
+         MessagesAwaitingSync.front().first <= ticket) {
+    auto heldMessage = std::move(MessagesAwaitingSync.front().second);
+    MessagesAwaitingSync.pop_front();
     // NOTE: a vote of an earlier term is no longer valid.
-    if (held.Message.term() >= Term)
-      Pending.Messages.push_back(std::move(held));
+    if (heldMessage.Message.term() >= Term)
+      Pending.Messages.push_back(std::move(heldMessage));
   }
   if (isLeader()) {
     advanceCommit(now);
--- a/src/consensus/ConsensusNode.h
+++ b/src/consensus/ConsensusNode.h
@@ -107,7 +107,7 @@
   const wire::Member &self() const { return Self; }
 
 private:
-  enum class MemberRole { Follower, TrialCandidate, Candidate, Leader };
+  enum class MemberRole { Follower, PreCandidate, Candidate, Leader };
 
   /// Replication state of another member.
   struct Progress {
@@ -115,18 +115,18 @@
     std::uint64_t Match = 0;
     std::uint64_t Next = 1;
     std::uint64_t Round = 0;
-    TimePoint HeardAt{};
+    TimePoint LastReplyAt{};
     TimePoint JoinedAt{};
     /// A batch or snapshot is unanswered.
-    bool IsBusy = false;
+    bool HasBatchInFlight = false;
     /// First entry of the unanswered batch, which ends before Next; a snapshot
     /// starts at 1.
-    std::uint64_t BusyFrom = 0;
+    std::uint64_t InFlightFrom = 0;
     /// Time at which the batch or snapshot is sent again if still unanswered.
     TimePoint ResendAt{};
     /// Time from the last send to ResendAt, without the transfer time of its
     /// bytes.
-    Duration ResendPause{};
+    Duration ResendInterval{};
   };
 
   struct PendingRead {
@@ -143,41 +143,41 @@
   std::size_t majority() const;
 
   void becomeFollower(TimePoint now, std::uint64_t term);
-  void startTrial(TimePoint now);
+  void startPreVote(TimePoint now);
   void startElection(TimePoint now);
-  void askForVotes(bool isTrial);
-  void askForVote(bool isTrial, const wire::Member &voter);
+  void requestVotes(bool isPreVote);
+  void requestVote(bool isPreVote, const wire::Member &voter);
   /// True until the first message of a leader since the start of this member.
   bool isStarting() const { return LeaderContact == TimePoint{}; }
-  bool mayStandNow(TimePoint now) const;
+  bool canStartPreVote(TimePoint now) const;
   /// How long members become candidates in order; longer after an election
   /// without a leader.
-  Duration orderTime() const {
-    return std::max(Options.OrderTime, StartTimeout);
+  Duration orderedCandidacyTime() const {
+    return std::max(Options.OrderedCandidacyTime, StartTimeout);
   }
   /// After a vote was given, this member starts no pre-vote and answers none
   /// for a while.
-  void keepVote(TimePoint now);
-  /// Returns the sender of \p trial if it is a competing candidate while
+  void protectVote(TimePoint now);
+  /// Returns the sender of \p preVote if it is a competing candidate while
   /// members become candidates in order, else nullptr.
-  const wire::Member *findRival(TimePoint now,
-                                const wire::Message &trial) const;
-  /// True if this member comes before the sender of \p trial: it has a newer
+  const wire::Member *findCompetitor(TimePoint now,
+                                     const wire::Message &preVote) const;
+  /// True if this member comes before the sender of \p preVote: it has a newer
   /// log, or the same log and a lower number.
-  bool precedes(const wire::Message &trial) const;
-  /// Starts or repeats this member's own pre-vote instead of granting \p trial,
-  /// if this member comes before its sender. False if it doesn't.
-  bool standInstead(TimePoint now, const wire::Message &trial);
+  bool precedes(const wire::Message &preVote) const;
+  /// Starts or repeats this member's own pre-vote instead of granting \p
+  /// preVote, if this member comes before its sender. False if it doesn't.
+  bool preemptPreVote(TimePoint now, const wire::Message &preVote);
   /// Cancels this member's pre-vote in favour of an earlier candidate, and
-  /// starts none for orderTime().
-  void giveWay(TimePoint now, const wire::Message &trial);
+  /// starts none for orderedCandidacyTime().
+  void deferTo(TimePoint now, const wire::Message &preVote);
   /// Starts the ordered candidacy again after an election without a leader, or
   /// without the member that had its turn and doesn't lead.
-  void orderAnew(TimePoint now);
+  void restartOrderedCandidacy(TimePoint now);
   void becomeLeader(TimePoint now);
   void resetElectionTimer(TimePoint now);
   /// Sets the time of the next pre-vote, unless a leader appears before.
-  void resetTrialTimer(TimePoint now);
+  void resetPreVoteTimer(TimePoint now);
 
   void onVoteRequest(TimePoint now, const wire::Message &message);
   void onVoteReply(TimePoint now, const wire::Message &message);
@@ -201,12 +201,12 @@
   void replicateAll(TimePoint now, bool mustSend);
   void sendSnapshot(TimePoint now, Progress &progress);
   /// Marks the entries from \p from on as sent and unanswered, with \p bytes.
-  void startWait(TimePoint now, Progress &progress, std::uint64_t from,
-                 std::uint64_t bytes);
+  void markInFlight(TimePoint now, Progress &progress, std::uint64_t from,
+                    std::uint64_t bytes);
   /// Ends the wait for a reply, after an acceptance or a refusal.
-  static void endWait(Progress &progress);
+  static void clearInFlight(Progress &progress);
   /// Ends the wait for a reply and has the same entries sent again.
-  static void giveUpWait(Progress &progress);
+  static void abandonInFlight(Progress &progress);
   void advanceCommit(TimePoint now);
   void setCommit(std::uint64_t index);
   void confirmReads();
@@ -237,23 +237,23 @@
   std::uint64_t LeaderCommit = 0;
   TimePoint ElectionAt{};
   TimePoint HeartbeatAt{};
-  std::set<MemberNumber> TrialVotes;
+  std::set<MemberNumber> PreVotes;
   std::set<MemberNumber> Votes;
   /// Last term in which this process was a candidate; 0 once late votes no
   /// longer count.
-  std::uint64_t StoodIn = 0;
+  std::uint64_t CandidateTerm = 0;
   /// End of the ordered candidacy.
-  TimePoint OrderUntil{};
+  TimePoint OrderedCandidacyUntil{};
   /// No pre-vote is started before this time, because this member deferred to
   /// another one or has voted.
-  TimePoint HoldsBackUntil{};
-  std::optional<MemberNumber> GaveWayTo;
+  TimePoint PreVotesPausedUntil{};
+  std::optional<MemberNumber> DeferredTo;
   /// Members that had their turn as candidate since they connected, without
   /// leading.
-  std::set<MemberNumber> PassedOver;
+  std::set<MemberNumber> SkippedCandidates;
   /// Pre-votes are ignored until this time, so that they don't void a vote that
   /// was given after the start.
-  TimePoint VoteHoldsUntil{};
+  TimePoint VoteProtectedUntil{};
   /// Minimum time from an election to the next pre-vote, until the first
   /// message of a leader.
   Duration StartTimeout{};
@@ -277,7 +277,7 @@
   /// Last index that is known to match the current leader's log.
   std::uint64_t MatchedIndex = 0;
   std::deque<PersistPoint> PersistPoints;
-  std::deque<std::pair<std::uint64_t, OutgoingMessage>> HeldMessages;
+  std::deque<std::pair<std::uint64_t, OutgoingMessage>> MessagesAwaitingSync;
   Effects Pending;
 };
 
--- a/src/consensus/DiskWriter.cpp
+++ b/src/consensus/DiskWriter.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Delay before a failed write is tried again.
-constexpr std::chrono::milliseconds FailurePause(100);
+constexpr std::chrono::milliseconds WriteRetryDelay(100);
 
 } // namespace
 
@@ -78,7 +78,7 @@
       return OnDone(job.Ticket);
     OnFailure(status);
     std::unique_lock guard(Lock);
-    Changed.wait_for(guard, FailurePause, [this] { return IsStopping; });
+    Changed.wait_for(guard, WriteRetryDelay, [this] { return IsStopping; });
     if (IsStopping)
       return;
     // NOTE: a rewrite that was queued since contains all records of this job.
--- a/src/consensus/internal/Election.cpp
+++ b/src/consensus/internal/Election.cpp
@@ -11,8 +11,8 @@
 
 namespace stepledge::consensus {
 
-bool ConsensusNode::mayStandNow(TimePoint now) const {
-  return isStarting() && isVoter() && now >= HoldsBackUntil;
+bool ConsensusNode::canStartPreVote(TimePoint now) const {
+  return isStarting() && isVoter() && now >= PreVotesPausedUntil;
 }
 
 void ConsensusNode::connectionMade(TimePoint now, const std::string &ip) {
@@ -31,124 +31,126 @@
       voters.push_back(it);
   if (!isStarting() || !isVoter() || voters.empty())
     return;
-  const bool isOrdered = now < OrderUntil;
-  OrderUntil = now + orderTime();
+  const bool isOrdered = now < OrderedCandidacyUntil;
+  OrderedCandidacyUntil = now + orderedCandidacyTime();
   for (const auto &it : voters)
-    PassedOver.erase(it.number());
+    SkippedCandidates.erase(it.number());
   // NOTE: earlier requests didn't reach the voter. Votes of other members stay,
   // except pre-votes that competing candidates gave each other after the
   // ordered candidacy had ended.
-  const bool isTrial = Role == MemberRole::TrialCandidate && isOrdered;
-  if (isTrial || Role == MemberRole::Candidate)
+  const bool isPreVote = Role == MemberRole::PreCandidate && isOrdered;
+  if (isPreVote || Role == MemberRole::Candidate)
     for (const auto &it : voters)
-      askForVote(isTrial, it);
-  else if (mayStandNow(now))
-    startTrial(now);
+      requestVote(isPreVote, it);
+  else if (canStartPreVote(now))
+    startPreVote(now);
 }
 
-void ConsensusNode::startTrial(TimePoint now) {
-  orderAnew(now);
-  Role = MemberRole::TrialCandidate;
+void ConsensusNode::startPreVote(TimePoint now) {
+  restartOrderedCandidacy(now);
+  Role = MemberRole::PreCandidate;
   Leader.reset();
-  resetTrialTimer(now);
-  TrialVotes = {Self.number()};
-  if (TrialVotes.size() >= majority())
+  resetPreVoteTimer(now);
+  PreVotes = {Self.number()};
+  if (PreVotes.size() >= majority())
     return startElection(now);
-  askForVotes(true);
+  requestVotes(true);
 }
 
 void ConsensusNode::startElection(TimePoint now) {
   Role = MemberRole::Candidate;
   ++Term;
-  StoodIn = Term;
+  CandidateTerm = Term;
   VotedFor = Self.number();
   saveVote();
   resetElectionTimer(now);
-  keepVote(now);
+  protectVote(now);
   StartTimeout = Options.ElectionTimeout;
   // NOTE: the own vote counts at once: vote requests leave only when it is on
   // disk.
   Votes = {Self.number()};
   if (Votes.size() >= majority())
     return becomeLeader(now);
-  askForVotes(false);
+  requestVotes(false);
 }
 
-void ConsensusNode::askForVotes(bool isTrial) {
+void ConsensusNode::requestVotes(bool isPreVote) {
   for (const auto &it : Voters.voters())
     if (it.number() != Self.number())
-      askForVote(isTrial, it);
+      requestVote(isPreVote, it);
 }
 
-void ConsensusNode::askForVote(bool isTrial, const wire::Member &voter) {
+void ConsensusNode::requestVote(bool isPreVote, const wire::Member &voter) {
   wire::Message message;
-  message.set_term(isTrial ? Term + 1 : Term);
+  message.set_term(isPreVote ? Term + 1 : Term);
   auto &request = *message.mutable_vote_request();
-  request.set_is_trial(isTrial);
+  request.set_is_trial(isPreVote);
   request.set_last_index(lastIndex());
   request.set_last_term(lastTerm());
-  if (isTrial)
+  if (isPreVote)
     send(voter.ip(), voter.number(), std::move(message));
   else
     sendDurably(voter.ip(), voter.number(), std::move(message));
 }
 
-void ConsensusNode::keepVote(TimePoint now) {
+void ConsensusNode::protectVote(TimePoint now) {
   if (!isStarting())
     return;
-  VoteHoldsUntil = now + StartTimeout;
-  HoldsBackUntil = std::max(HoldsBackUntil, VoteHoldsUntil);
+  VoteProtectedUntil = now + StartTimeout;
+  PreVotesPausedUntil = std::max(PreVotesPausedUntil, VoteProtectedUntil);
 }
 
-const wire::Member *ConsensusNode::findRival(TimePoint now,
-                                             const wire::Message &trial) const {
-  if (!isStarting() || !isVoter() || now >= OrderUntil ||
-      PassedOver.contains(trial.from()))
+const wire::Member *
+ConsensusNode::findCompetitor(TimePoint now,
+                              const wire::Message &preVote) const {
+  if (!isStarting() || !isVoter() || now >= OrderedCandidacyUntil ||
+      SkippedCandidates.contains(preVote.from()))
     return nullptr;
   for (const auto &it : Voters.voters())
-    if (it.number() == trial.from())
+    if (it.number() == preVote.from())
       return &it;
   return nullptr;
 }
 
-bool ConsensusNode::precedes(const wire::Message &trial) const {
-  const auto &request = trial.vote_request();
+bool ConsensusNode::precedes(const wire::Message &preVote) const {
+  const auto &request = preVote.vote_request();
   const auto own = std::make_pair(lastTerm(), lastIndex());
   const auto other = std::make_pair(request.last_term(), request.last_index());
-  return own == other ? Self.number() < trial.from() : own > other;
+  return own == other ? Self.number() < preVote.from() : own > other;
 }
 
-bool ConsensusNode::standInstead(TimePoint now, const wire::Message &trial) {
-  const auto *rival = findRival(now, trial);
-  if (!rival || !precedes(trial))
+bool ConsensusNode::preemptPreVote(TimePoint now,
+                                   const wire::Message &preVote) {
+  const auto *competitor = findCompetitor(now, preVote);
+  if (!competitor || !precedes(preVote))
     return false;
   // NOTE: an earlier request may have been sent before the other member
   // accepted connections.
-  if (Role == MemberRole::TrialCandidate)
-    askForVote(true, *rival);
-  else if (Role == MemberRole::Follower && now >= HoldsBackUntil)
-    startTrial(now);
+  if (Role == MemberRole::PreCandidate)
+    requestVote(true, *competitor);
+  else if (Role == MemberRole::Follower && now >= PreVotesPausedUntil)
+    startPreVote(now);
   return true;
 }
 
-void ConsensusNode::giveWay(TimePoint now, const wire::Message &trial) {
-  const bool isInTrial =
-      Role == MemberRole::Follower || Role == MemberRole::TrialCandidate;
-  if (!isInTrial || !findRival(now, trial))
+void ConsensusNode::deferTo(TimePoint now, const wire::Message &preVote) {
+  const bool canDefer =
+      Role == MemberRole::Follower || Role == MemberRole::PreCandidate;
+  if (!canDefer || !findCompetitor(now, preVote))
     return;
   Role = MemberRole::Follower;
-  GaveWayTo = trial.from();
-  HoldsBackUntil = now + orderTime();
-  ElectionAt = HoldsBackUntil;
+  DeferredTo = preVote.from();
+  PreVotesPausedUntil = now + orderedCandidacyTime();
+  ElectionAt = PreVotesPausedUntil;
 }
 
-void ConsensusNode::orderAnew(TimePoint now) {
-  if (!isStarting() || (Role != MemberRole::Candidate && !GaveWayTo))
+void ConsensusNode::restartOrderedCandidacy(TimePoint now) {
+  if (!isStarting() || (Role != MemberRole::Candidate && !DeferredTo))
     return;
-  if (GaveWayTo)
-    PassedOver.insert(*GaveWayTo);
-  GaveWayTo.reset();
-  OrderUntil = now + orderTime();
+  if (DeferredTo)
+    SkippedCandidates.insert(*DeferredTo);
+  DeferredTo.reset();
+  OrderedCandidacyUntil = now + orderedCandidacyTime();
 }
 
 void ConsensusNode::onVoteRequest(TimePoint now, const wire::Message &message) {
@@ -156,19 +158,19 @@
   const bool isUpToDate =
       std::make_pair(request.last_term(), request.last_index()) >=
       std::make_pair(lastTerm(), lastIndex());
-  const bool mayVote = request.is_trial()
+  const bool canVote = request.is_trial()
                            ? message.term() > Term
                            : message.term() == Term &&
                                  (VotedFor == 0 || VotedFor == message.from());
-  const bool isPreceded = request.is_trial() && standInstead(now, message);
-  const bool granted = isUpToDate && mayVote && isVoter() && !isPreceded;
+  const bool isPreceded = request.is_trial() && preemptPreVote(now, message);
+  const bool granted = isUpToDate && canVote && isVoter() && !isPreceded;
   if (granted && request.is_trial())
-    giveWay(now, message);
+    deferTo(now, message);
   if (granted && !request.is_trial()) {
     VotedFor = message.from();
     saveVote();
     resetElectionTimer(now);
-    keepVote(now);
+    protectVote(now);
   }
   wire::Message reply;
   reply.set_term(request.is_trial() && granted ? message.term() : Term);
@@ -182,15 +184,15 @@
 void ConsensusNode::onVoteReply(TimePoint now, const wire::Message &message) {
   const auto &reply = message.vote_reply();
   // NOTE: votes that arrive during the next pre-vote still belong to this term.
-  const bool isWanted =
+  const bool isExpected =
       reply.is_trial()
-          ? Role == MemberRole::TrialCandidate && message.term() == Term + 1
+          ? Role == MemberRole::PreCandidate && message.term() == Term + 1
           : (Role == MemberRole::Candidate ||
-             Role == MemberRole::TrialCandidate) &&
-                StoodIn == Term && message.term() == Term;
-  if (!isWanted || !reply.granted())
+             Role == MemberRole::PreCandidate) &&
+                CandidateTerm == Term && message.term() == Term;
+  if (!isExpected || !reply.granted())
     return;
-  auto &votes = reply.is_trial() ? TrialVotes : Votes;
+  auto &votes = reply.is_trial() ? PreVotes : Votes;
   if (isVoter(message.from()))
     votes.insert(message.from());
   if (votes.size() < majority())
--- a/src/consensus/internal/Replication.cpp
+++ b/src/consensus/internal/Replication.cpp
@@ -76,7 +76,7 @@
   }
   Role = MemberRole::Follower;
   // NOTE: a late vote of this term no longer counts.
-  StoodIn = 0;
+  CandidateTerm = 0;
   LeaderContact = now;
   resetElectionTimer(now);
 }
@@ -124,7 +124,7 @@
     return;
   auto &progress = it->second;
   const auto &reply = message.append_reply();
-  progress.HeardAt = now;
+  progress.LastReplyAt = now;
   progress.Round = std::max(progress.Round, reply.round());
   if (reply.accepted()) {
     progress.Match = std::max(progress.Match, reply.index());
@@ -134,11 +134,12 @@
     // heartbeat found a gap and caused copies: three entries of 205 KB each
     // took 3,896 KB.
     if (reply.received() + 1 >= progress.Next)
-      endWait(progress);
-  } else if (!progress.IsBusy || reply.index() + 1 < progress.BusyFrom) {
+      clearInFlight(progress);
+  } else if (!progress.HasBatchInFlight ||
+             reply.index() + 1 < progress.InFlightFrom) {
     progress.Next = std::max<std::uint64_t>(
         progress.Match + 1, std::min(progress.Next - 1, reply.index() + 1));
-    endWait(progress);
+    clearInFlight(progress);
   }
   // NOTE: otherwise the entries that this refusal asks for are already sent.
   advanceCommit(now);
@@ -154,7 +155,7 @@
   if (!isNew)
     return;
   progress.Member = member;
-  progress.HeardAt = now;
+  progress.LastReplyAt = now;
   progress.Next = lastIndex() + 1;
   replicate(now, progress, true);
 }
@@ -166,17 +167,17 @@
 
 void ConsensusNode::replicate(TimePoint now, Progress &progress,
                               bool mustSend) {
-  if (progress.IsBusy && now >= progress.ResendAt)
-    giveUpWait(progress);
-  if (progress.Next <= Base.index() && !progress.IsBusy)
+  if (progress.HasBatchInFlight && now >= progress.ResendAt)
+    abandonInFlight(progress);
+  if (progress.Next <= Base.index() && !progress.HasBatchInFlight)
     return sendSnapshot(now, progress);
-  if (progress.IsBusy && !mustSend)
+  if (progress.HasBatchInFlight && !mustSend)
     return;
   // NOTE: while a batch is unanswered, heartbeats repeat no entries; they match
   // at an index that the receiver is known to have, or else at the first one in
   // this log. A member that received no heartbeat during its snapshot asked for
   // votes 48 times in 8 s.
-  const std::uint64_t next = progress.IsBusy
+  const std::uint64_t next = progress.HasBatchInFlight
                                  ? std::max(progress.Match, Base.index()) + 1
                                  : progress.Next;
   wire::Message message;
@@ -188,8 +189,8 @@
   request.set_commit(Commit);
   request.set_round(Round);
   std::uint64_t bytes = 0;
-  for (std::uint64_t index = next; !progress.IsBusy && index <= lastIndex();
-       ++index) {
+  for (std::uint64_t index = next;
+       !progress.HasBatchInFlight && index <= lastIndex(); ++index) {
     const auto &entry = entryAt(index);
     const std::uint64_t all = bytes + entry.command().size();
     if (all > Options.BatchBytes && index > next)
@@ -199,7 +200,7 @@
     progress.Next = index + 1;
   }
   if (request.entries_size() > 0)
-    startWait(now, progress, next, bytes);
+    markInFlight(now, progress, next, bytes);
   send(progress.Member.ip(), progress.Member.number(), std::move(message));
 }
 
@@ -210,41 +211,42 @@
   *message.mutable_snapshot_request()->mutable_snapshot() = Base;
   message.mutable_snapshot_request()->set_round(Round);
   progress.Next = Base.index() + 1;
-  startWait(now, progress, 1, Base.state().size());
+  markInFlight(now, progress, 1, Base.state().size());
   send(progress.Member.ip(), progress.Member.number(), std::move(message));
 }
 
-void ConsensusNode::startWait(TimePoint now, Progress &progress,
-                              std::uint64_t from, std::uint64_t bytes) {
+void ConsensusNode::markInFlight(TimePoint now, Progress &progress,
+                                 std::uint64_t from, std::uint64_t bytes) {
   constexpr std::uint64_t MillisecondsInSecond = 1000;
   const std::uint64_t bytesMs =
-      bytes * MillisecondsInSecond / Options.LeastBytesPerSecond;
-  progress.IsBusy = true;
-  progress.BusyFrom = from;
-  progress.ResendPause = std::clamp(progress.ResendPause * 2,
-                                    Options.ResendAfter, Options.LongestResend);
-  progress.ResendAt = now + progress.ResendPause +
+      bytes * MillisecondsInSecond / Options.MinBytesPerSecond;
+  progress.HasBatchInFlight = true;
+  progress.InFlightFrom = from;
+  progress.ResendInterval =
+      std::clamp(progress.ResendInterval * 2, Options.FirstResendInterval,
+                 Options.MaxResendInterval);
+  progress.ResendAt = now + progress.ResendInterval +
                       milliseconds(static_cast<std::int64_t>(bytesMs));
 }
 
-void ConsensusNode::endWait(Progress &progress) {
-  progress.IsBusy = false;
-  progress.ResendPause = {};
+void ConsensusNode::clearInFlight(Progress &progress) {
+  progress.HasBatchInFlight = false;
+  progress.ResendInterval = {};
 }
 
-void ConsensusNode::giveUpWait(Progress &progress) {
-  progress.IsBusy = false;
-  progress.Next = std::max(progress.Match + 1, progress.BusyFrom);
+void ConsensusNode::abandonInFlight(Progress &progress) {
+  progress.HasBatchInFlight = false;
+  progress.Next = std::max(progress.Match + 1, progress.InFlightFrom);
 }
 
 void ConsensusNode::connectionLost(TimePoint now, const std::string &ip) {
   if (!isLeader())
     return;
   for (auto &[number, it] : Others) {
-    if (!it.IsBusy || it.Member.ip() != ip)
+    if (!it.HasBatchInFlight || it.Member.ip() != ip)
       continue;
-    giveUpWait(it);
-    it.ResendPause = {};
+    abandonInFlight(it);
+    it.ResendInterval = {};
     replicate(now, it, true);
   }
 }
@@ -302,14 +304,14 @@
 }
 
 void ConsensusNode::checkQuorum(TimePoint now) {
-  std::size_t heard = 0;
+  std::size_t responsive = 0;
   for (const auto &it : Voters.voters()) {
     const auto other = Others.find(it.number());
-    heard += it.number() == Self.number() ||
-             (other != Others.end() &&
-              now - other->second.HeardAt < Options.AliveLimit);
+    responsive += it.number() == Self.number() ||
+                  (other != Others.end() &&
+                   now - other->second.LastReplyAt < Options.AliveLimit);
   }
-  if (heard >= majority()) {
+  if (responsive >= majority()) {
     LeaderContact = now;
     return;
   }
@@ -332,16 +334,16 @@
       continue;
     }
     const auto &progress = Others[it.number()];
-    alive += now - progress.HeardAt < Options.AliveLimit;
+    alive += now - progress.LastReplyAt < Options.AliveLimit;
     // NOTE: a member with another number and a later reply at the same address
     // means that the disk was wiped.
     const bool isWiped =
         std::any_of(Others.begin(), Others.end(), [&](const auto &other) {
           return other.first != it.number() &&
                  other.second.Member.ip() == it.ip() &&
-                 other.second.HeardAt > progress.HeardAt;
+                 other.second.LastReplyAt > progress.LastReplyAt;
         });
-    if (isWiped || (!lost && now - progress.HeardAt > Options.ReplaceAfter))
+    if (isWiped || (!lost && now - progress.LastReplyAt > Options.ReplaceAfter))
       lost = &it;
   }
   wire::Membership voters = Voters;
@@ -353,9 +355,9 @@
         *voters.add_voters() = it;
     return proposeVoters(std::move(voters));
   }
-  const bool isWanted =
+  const bool needsSpare =
       count < Options.TargetVoters || (lost && count == Options.TargetVoters);
-  const auto *spare = isWanted ? bestSpare(now) : nullptr;
+  const auto *spare = needsSpare ? bestSpare(now) : nullptr;
   const int needed = (count + 1) / 2 + 1;
   if (!spare || alive + 1 < needed)
     return;
@@ -376,9 +378,9 @@
   };
   const Progress *best = nullptr;
   for (const auto &[number, it] : Others) {
-    const bool isFit = !isVoter(number) && it.Match >= Commit &&
-                       now - it.HeardAt < Options.AliveLimit;
-    if (!isFit)
+    const bool isEligible = !isVoter(number) && it.Match >= Commit &&
+                            now - it.LastReplyAt < Options.AliveLimit;
+    if (!isEligible)
       continue;
     if (!best || votersIn(it.Member.hall()) < votersIn(best->Member.hall()))
       best = &it;
--- a/src/consensus/tests/ConsensusScheduleTest.cpp
+++ b/src/consensus/tests/ConsensusScheduleTest.cpp
@@ -23,9 +23,9 @@
 
 /// Returns the value of the environment \p variable: STEPLEDGE_SEEDS is the
 /// number of seeds, STEPLEDGE_FIRST_SEED the first one.
-std::uint64_t numberFrom(const char *variable, std::uint64_t otherwise) {
+std::uint64_t numberFrom(const char *variable, std::uint64_t fallback) {
   const char *text = std::getenv(variable);
-  return text ? std::strtoull(text, nullptr, 10) : otherwise;
+  return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
 struct Shape {
@@ -33,11 +33,11 @@
   std::size_t Bootstrapped;
   int Target;
   /// Number of disks that may be lost at once.
-  std::size_t Losses;
+  std::size_t MaxLosses;
 };
 
 /// Injects or repairs one random fault.
-void disturb(SimulatedGroup &group, const Shape &shape) {
+void injectFault(SimulatedGroup &group, const Shape &shape) {
   const std::size_t member = group.pick(group.size());
   const std::size_t other = group.pick(group.size());
   std::size_t down = 0;
@@ -45,15 +45,15 @@
     down += !group.isRunning(i);
   switch (group.pick(9)) {
   case 0:
-    if (down < shape.Losses)
+    if (down < shape.MaxLosses)
       group.kill(member);
     break;
   case 1:
-    group.cut(member, other);
+    group.blockLink(member, other);
     break;
   case 2:
-    group.cut(member, other);
-    group.cut(other, member);
+    group.blockLink(member, other);
+    group.blockLink(other, member);
     break;
   case 3:
     group.heal();
@@ -76,7 +76,7 @@
 
 /// Starts and connects all members, and checks that a new entry commits in
 /// time.
-void settle(SimulatedGroup &group, Duration limit) {
+void recoverAndCheck(SimulatedGroup &group, Duration limit) {
   group.heal();
   group.setLoss(0.0);
   for (std::size_t i = 0; i < group.size(); ++i)
@@ -89,51 +89,51 @@
 }
 
 /// Limits the bandwidth of half of the links; small messages bypass them.
-void narrowSomeWays(SimulatedGroup &group) {
+void limitSomeLinks(SimulatedGroup &group) {
   for (std::size_t from = 0; from < group.size(); ++from)
     for (std::size_t to = 0; to < group.size(); ++to)
       if (group.pick(2) == 0)
-        group.narrow(from, to, NarrowRate, true);
+        group.limitBandwidth(from, to, NarrowRate, true);
 }
 
-/// Runs one seeded schedule. Entries and snapshots have up to \p mostBytes;
+/// Runs one seeded schedule. Entries and snapshots have up to \p maxBytes;
 /// large ones are delayed on narrow links.
-void playSeed(std::uint64_t seed, const Shape &shape, std::size_t mostBytes = 0,
-              const SimulatedTiming &timing = {}) {
+void runSchedule(std::uint64_t seed, const Shape &shape,
+                 std::size_t maxBytes = 0, const SimulatedTiming &timing = {}) {
   CAPTURE(seed);
   CAPTURE(shape.Members);
   SimulatedGroup group(shape.Members, shape.Bootstrapped, shape.Target, seed,
                        timing);
-  if (mostBytes > 0) {
-    narrowSomeWays(group);
-    group.setStateBytes(mostBytes);
+  if (maxBytes > 0) {
+    limitSomeLinks(group);
+    group.setStateBytes(maxBytes);
   }
   group.run(milliseconds(2500));
   for (int round = 0; round < 25; ++round) {
-    disturb(group, shape);
+    injectFault(group, shape);
     for (int i = 0; i < 3; ++i) {
-      group.propose(mostBytes > 0 ? group.pick(mostBytes) : 0);
+      group.propose(maxBytes > 0 ? group.pick(maxBytes) : 0);
       group.read();
       group.run(milliseconds(150));
     }
     // A disk is lost while all other members are healthy, which the group must
     // survive.
     if (round % 8 == 7) {
-      settle(group, milliseconds(6000));
+      recoverAndCheck(group, milliseconds(6000));
       group.wipe(group.pick(group.size()));
       group.run(milliseconds(300));
-      settle(group, milliseconds(6000));
+      recoverAndCheck(group, milliseconds(6000));
     }
   }
-  settle(group, milliseconds(5000));
-  CHECK(group.fault() == "");
+  recoverAndCheck(group, milliseconds(5000));
+  CHECK(group.violation() == "");
 }
 
 /// All members lose power and restart after a second. No member reaches another
 /// one before \p unreachable has passed; then the group has \p time to elect a
 /// leader.
-bool leadsAfterPowerLoss(std::uint64_t seed, Duration unreachable,
-                         Duration time) {
+bool electsLeaderAfterPowerLoss(std::uint64_t seed, Duration unreachable,
+                                Duration time) {
   SimulatedGroup group(3, 3, 3, seed);
   group.run(milliseconds(2500));
   group.propose();
@@ -142,13 +142,13 @@
     group.kill(i);
   group.run(milliseconds(1000));
   for (std::size_t i = 0; i < 9; ++i)
-    group.cut(i / 3, i % 3);
+    group.blockLink(i / 3, i % 3);
   for (std::size_t i = 0; i < 3; ++i)
     group.start(i);
   group.run(unreachable);
   group.heal();
   group.run(time);
-  CHECK(group.fault() == "");
+  CHECK(group.violation() == "");
   return group.leader().has_value();
 }
 
@@ -160,7 +160,7 @@
   const std::uint64_t count = numberFrom("STEPLEDGE_SEEDS", 60);
   for (std::uint64_t seed = first; seed < first + count; ++seed)
     for (const auto &it : shapes)
-      playSeed(seed, it);
+      runSchedule(seed, it);
 }
 
 TEST_CASE("Consensus_SchedulesWithConnectionsLoseNothing") {
@@ -171,24 +171,24 @@
   const std::uint64_t count = numberFrom("STEPLEDGE_SEEDS", 60);
   for (std::uint64_t seed = first; seed < first + count; ++seed)
     for (const auto &it : shapes)
-      playSeed(seed, it, 0, timing);
+      runSchedule(seed, it, 0, timing);
 }
 
 TEST_CASE("Consensus_LargeEntriesThatAreOvertakenLoseNothing") {
   const Shape shapes[] = {{3, 3, 3, 1}, {4, 3, 3, 1}, {6, 3, 5, 2}};
-  constexpr std::size_t MostBytes = 40 << 10;
+  constexpr std::size_t MaxBytes = 40 << 10;
   const std::uint64_t first = numberFrom("STEPLEDGE_FIRST_SEED", 1);
   const std::uint64_t count = numberFrom("STEPLEDGE_SEEDS", 20);
   for (std::uint64_t seed = first; seed < first + count; ++seed)
     for (const auto &it : shapes)
-      playSeed(seed, it, MostBytes);
+      runSchedule(seed, it, MaxBytes);
 }
 
 TEST_CASE("Consensus_SeedsThatFailed") {
   // 2214: the member with the newer term had the shorter log; neither member
   // could win a pre-vote, since a refused pre-vote didn't report the newer
   // term.
-  playSeed(2214, {3, 3, 3, 1});
+  runSchedule(2214, {3, 3, 3, 1});
 }
 
 TEST_CASE("Consensus_WipedMemberIsReplacedByItself") {
@@ -220,22 +220,23 @@
   group.run(milliseconds(5000));
   for (std::size_t i = 0; i < 3; ++i)
     group.kill(i);
-  settle(group, milliseconds(4000));
-  CHECK(group.fault() == "");
+  recoverAndCheck(group, milliseconds(4000));
+  CHECK(group.violation() == "");
 }
 
 TEST_CASE("Consensus_GroupLeadsSoonAfterALossOfPower") {
-  int led = 0;
+  int leaderCount = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed)
-    led += leadsAfterPowerLoss(seed, {}, milliseconds(300));
-  INFO("of 40: ", led);
-  CHECK(led >= 34);
+    leaderCount += electsLeaderAfterPowerLoss(seed, {}, milliseconds(300));
+  INFO("of 40: ", leaderCount);
+  CHECK(leaderCount >= 34);
 }
 
 TEST_CASE("Consensus_TrialThatReachedNobodyIsRepeatedSoon") {
-  int led = 0;
+  int leaderCount = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed)
-    led += leadsAfterPowerLoss(seed, milliseconds(250), milliseconds(300));
-  INFO("of 40: ", led);
-  CHECK(led >= 34);
+    leaderCount +=
+        electsLeaderAfterPowerLoss(seed, milliseconds(250), milliseconds(300));
+  INFO("of 40: ", leaderCount);
+  CHECK(leaderCount >= 34);
 }
--- a/src/consensus/tests/LogStoreTest.cpp
+++ b/src/consensus/tests/LogStoreTest.cpp
@@ -139,9 +139,9 @@
     REQUIRE(store.load().ok());
     REQUIRE(store.append({entryAt(5)}).ok());
   }
-  const std::string whole = bytesOf(file);
-  for (std::size_t n = synced.size(); n < whole.size(); ++n) {
-    writeBytes(file, whole.substr(0, n));
+  const std::string complete = bytesOf(file);
+  for (std::size_t n = synced.size(); n < complete.size(); ++n) {
+    writeBytes(file, complete.substr(0, n));
     const auto log = loadFrom(folder.Path);
     CHECK(log.State.Entries.size() == 1);
     CHECK(bytesOf(file).size() == synced.size());
@@ -151,20 +151,20 @@
 TEST_CASE("LogStore_MissingWriteHidesTheLaterOnes") {
   const TemporaryFolder folder;
   std::size_t before = 0;
-  std::size_t behind = 0;
+  std::size_t after = 0;
   {
     LogStore store(folder.Path);
     REQUIRE(store.load().ok());
     REQUIRE(store.rewrite(beginning(7)).ok());
     before = bytesOf(newestFile(folder.Path)).size();
     REQUIRE(store.append({entryAt(4)}).ok());
-    behind = bytesOf(newestFile(folder.Path)).size();
+    after = bytesOf(newestFile(folder.Path)).size();
     REQUIRE(store.append({entryAt(5)}).ok());
   }
   const fs::path file = newestFile(folder.Path);
   std::string bytes = bytesOf(file);
   std::fill(bytes.begin() + static_cast<std::ptrdiff_t>(before),
-            bytes.begin() + static_cast<std::ptrdiff_t>(behind), '\0');
+            bytes.begin() + static_cast<std::ptrdiff_t>(after), '\0');
   writeBytes(file, bytes);
   CHECK(loadFrom(folder.Path).State.Entries.empty());
 }
@@ -189,15 +189,15 @@
   // Power was lost before the new file was complete; the old one is still
   // there.
   const fs::path file = newestFile(folder.Path);
-  const std::string whole = bytesOf(file);
+  const std::string complete = bytesOf(file);
   writeBytes(old, kept);
-  for (std::size_t n = 0; n < whole.size(); n += 3) {
-    writeBytes(file, whole.substr(0, n));
+  for (std::size_t n = 0; n < complete.size(); n += 3) {
+    writeBytes(file, complete.substr(0, n));
     const auto log = loadFrom(folder.Path);
     CHECK(log.State.Entries.size() == 1);
     CHECK(log.State.Snapshot.index() == 3);
   }
-  writeBytes(file, whole);
+  writeBytes(file, complete);
   CHECK(loadFrom(folder.Path).State.Snapshot.index() == 4);
 }
 
@@ -210,10 +210,10 @@
     REQUIRE(store.append({entryAt(4), entryAt(5), entryAt(6)}).ok());
   }
   const fs::path file = newestFile(folder.Path);
-  const std::string whole = bytesOf(file);
+  const std::string complete = bytesOf(file);
   std::mt19937_64 random(3);
   for (int i = 0; i < 300; ++i) {
-    std::string bytes = whole;
+    std::string bytes = complete;
     auto &damaged = bytes[random() % bytes.size()];
     damaged =
         static_cast<char>(damaged ^ static_cast<char>(1 + random() % 255));
--- a/src/consensus/tests/RejoinTest.cpp
+++ b/src/consensus/tests/RejoinTest.cpp
@@ -19,12 +19,12 @@
 constexpr std::size_t Members = 5;
 
 /// Isolates the member until it has been replaced, and reconnects it.
-void replaceOutOfReach(SimulatedGroup &group, std::size_t member) {
+void replaceIsolated(SimulatedGroup &group, std::size_t member) {
   for (std::size_t i = 0; i < Members; ++i) {
     if (i == member)
       continue;
-    group.cut(member, i);
-    group.cut(i, member);
+    group.blockLink(member, i);
+    group.blockLink(i, member);
   }
   group.propose();
   group.run(milliseconds(6000));
@@ -60,16 +60,16 @@
     CAPTURE(seed);
     SimulatedGroup group(Members, 3, 3, seed);
     group.run(milliseconds(4000));
-    for (int cut = 0; cut < 3; ++cut) {
+    for (int round = 0; round < 3; ++round) {
       REQUIRE(group.leader());
       const std::size_t member = follower(group);
-      replaceOutOfReach(group, member);
+      replaceIsolated(group, member);
       group.run(milliseconds(5000));
       group.propose();
       group.run(milliseconds(1000));
       CHECK(group.appliedIndex(member) == group.appliedIndex(*group.leader()));
     }
-    CHECK(group.fault() == "");
+    CHECK(group.violation() == "");
   }
 }
 
--- a/src/consensus/tests/ResendTest.cpp
+++ b/src/consensus/tests/ResendTest.cpp
@@ -19,15 +19,15 @@
 constexpr std::size_t EntryBytes = 200 << 10;
 constexpr std::size_t StateBytes = 800 << 10;
 /// Upper bound for all messages without entries or state during a test.
-constexpr std::size_t SmallMessages = 20 << 10;
+constexpr std::size_t SmallMessageBytes = 20 << 10;
 
-struct Slow {
+struct LeaderLink {
   std::size_t Leader = 0;
   std::size_t Follower = 0;
 };
 
 /// Waits for a leader, and returns it with one follower.
-Slow begin(SimulatedGroup &group) {
+LeaderLink awaitLeader(SimulatedGroup &group) {
   group.run(milliseconds(2500));
   group.propose();
   group.run(milliseconds(500));
@@ -37,10 +37,10 @@
 
 /// Replicates three large entries over a narrow link, and returns the bytes
 /// sent.
-std::size_t bytesOfThreeEntries(bool letsSmallBy) {
+std::size_t bytesOfThreeEntries(bool hasSmallBypass) {
   SimulatedGroup group(3, 3, 3, 5);
-  const auto [leader, follower] = begin(group);
-  group.narrow(leader, follower, NarrowRate, letsSmallBy);
+  const auto [leader, follower] = awaitLeader(group);
+  group.limitBandwidth(leader, follower, NarrowRate, hasSmallBypass);
   const auto before = group.sentBytes(leader, follower);
   const auto applied = group.appliedIndex(follower);
   for (int i = 0; i < 3; ++i)
@@ -48,28 +48,28 @@
   group.run(milliseconds(10000));
   CHECK(group.appliedIndex(follower) == applied + 3);
   CHECK(group.leader() == leader);
-  CHECK(group.fault() == "");
+  CHECK(group.violation() == "");
   return group.sentBytes(leader, follower) - before;
 }
 
 } // namespace
 
 TEST_CASE("Resend_SlowLinkCarriesLargeEntriesOnce") {
-  CHECK(bytesOfThreeEntries(false) < 3 * EntryBytes + SmallMessages);
+  CHECK(bytesOfThreeEntries(false) < 3 * EntryBytes + SmallMessageBytes);
   // Replies to heartbeats that overtake an entry don't acknowledge it.
-  CHECK(bytesOfThreeEntries(true) < 3 * EntryBytes + SmallMessages);
+  CHECK(bytesOfThreeEntries(true) < 3 * EntryBytes + SmallMessageBytes);
 }
 
 TEST_CASE("Resend_MemberThatGetsALargeStateHearsItsLeader") {
   SimulatedGroup group(3, 3, 3, 6);
-  const auto [leader, follower] = begin(group);
+  const auto [leader, follower] = awaitLeader(group);
   group.kill(follower);
   group.setStateBytes(StateBytes);
   for (int i = 0; i < 20; ++i) {
     group.propose();
     group.run(milliseconds(50));
   }
-  group.narrow(leader, follower, NarrowRate, true);
+  group.limitBandwidth(leader, follower, NarrowRate, true);
   const auto before = group.sentBytes(leader, follower);
   group.start(follower);
   group.run(milliseconds(400));
@@ -78,14 +78,14 @@
   CHECK(group.votesAsked(follower) == votes);
   CHECK(group.appliedIndex(follower) == group.appliedIndex(leader));
   CHECK(group.sentBytes(leader, follower) - before <
-        StateBytes + SmallMessages);
-  CHECK(group.fault() == "");
+        StateBytes + SmallMessageBytes);
+  CHECK(group.violation() == "");
 }
 
 TEST_CASE("Resend_MemberThatDoesNotAnswerIsRepeatedToLaterAndLater") {
   SimulatedGroup group(3, 3, 3, 7);
-  const auto [leader, follower] = begin(group);
-  group.cut(leader, follower);
+  const auto [leader, follower] = awaitLeader(group);
+  group.blockLink(leader, follower);
   // By then the replies to earlier heartbeats have arrived.
   group.run(milliseconds(100));
   const auto before = group.sentBytes(leader, follower);
@@ -99,13 +99,13 @@
   group.heal();
   group.run(milliseconds(4500));
   CHECK(group.appliedIndex(follower) == group.appliedIndex(leader));
-  CHECK(group.fault() == "");
+  CHECK(group.violation() == "");
 }
 
 TEST_CASE("Resend_LostConnectionBringsARepeatAtOnce") {
   SimulatedGroup group(3, 3, 3, 8);
-  const auto [leader, follower] = begin(group);
-  group.narrow(leader, follower, NarrowRate, true);
+  const auto [leader, follower] = awaitLeader(group);
+  group.limitBandwidth(leader, follower, NarrowRate, true);
   const auto before = group.sentBytes(leader, follower);
   group.propose(EntryBytes);
   group.run(milliseconds(300));
@@ -116,25 +116,25 @@
   group.run(milliseconds(1000));
   CHECK(group.appliedIndex(follower) == group.appliedIndex(leader));
   CHECK(group.sentBytes(leader, follower) - before <
-        2 * EntryBytes + SmallMessages);
+        2 * EntryBytes + SmallMessageBytes);
   group.breakConnection(follower, leader);
   group.run(milliseconds(100));
   CHECK(group.sentBytes(leader, follower) - before <
-        2 * EntryBytes + SmallMessages);
-  CHECK(group.fault() == "");
+        2 * EntryBytes + SmallMessageBytes);
+  CHECK(group.violation() == "");
 }
 
 TEST_CASE("Resend_MemberThatAnswersBeginsWithTheFirstIntervalAgain") {
   SimulatedGroup group(3, 3, 3, 9);
-  const Slow way = begin(group);
+  const LeaderLink link = awaitLeader(group);
   const auto copiesIn = [&](Duration time) {
-    const auto before = group.sentBytes(way.Leader, way.Follower);
+    const auto before = group.sentBytes(link.Leader, link.Follower);
     group.propose(EntryBytes);
     group.run(time);
-    return (group.sentBytes(way.Leader, way.Follower) - before) / EntryBytes;
+    return (group.sentBytes(link.Leader, link.Follower) - before) / EntryBytes;
   };
   for (int round = 0; round < 2; ++round) {
-    group.cut(way.Leader, way.Follower);
+    group.blockLink(link.Leader, link.Follower);
     group.run(milliseconds(100));
     // The first send, the resend 2.0 s later, and the next one 2.4 s after
     // that.
@@ -143,7 +143,7 @@
     CHECK(copiesIn(milliseconds(1900)) == 0);
     group.heal();
     group.run(milliseconds(5000));
-    CHECK(group.appliedIndex(way.Follower) == group.appliedIndex(way.Leader));
+    CHECK(group.appliedIndex(link.Follower) == group.appliedIndex(link.Leader));
   }
-  CHECK(group.fault() == "");
+  CHECK(group.violation() == "");
 }
--- a/src/consensus/tests/ReturnTest.cpp
+++ b/src/consensus/tests/RestartTest.cpp
@@ -23,31 +23,31 @@
   SimulatedTiming timing;
   timing.Step = milliseconds(1);
   timing.TickInterval = milliseconds(20);
-  timing.LeastDelay = milliseconds(1);
-  timing.MostDelay = milliseconds(4);
-  timing.LeastSync = milliseconds(1);
-  timing.MostSync = milliseconds(5);
+  timing.MinDelay = milliseconds(1);
+  timing.MaxDelay = milliseconds(4);
+  timing.MinSync = milliseconds(1);
+  timing.MaxSync = milliseconds(5);
   timing.HasConnections = true;
   return timing;
 }
 
 /// Maximum time without a leader that callers tolerate once a majority runs.
-constexpr Duration LeadLimit = milliseconds(150);
+constexpr Duration MaxLeaderWait = milliseconds(150);
 /// Time over which the members of a group restart.
 constexpr std::int64_t StartSpreadMs = 300;
 /// Time limit of a measurement.
-constexpr Duration Hopeless = milliseconds(3000);
+constexpr Duration MeasurementLimit = milliseconds(3000);
 
 /// Times from the moment at which a majority runs.
-struct Return {
-  Duration ToLeader = Hopeless;
+struct RecoveryTimes {
+  Duration ToLeader = MeasurementLimit;
   /// To a majority of members with an up-to-date state.
-  Duration ToFresh = Hopeless;
+  Duration ToFresh = MeasurementLimit;
 };
 
 /// Kills all members of a group under load. Some had entries in flight, so
 /// their logs differ.
-void killAllAtWork(SimulatedGroup &group) {
+void killAllUnderLoad(SimulatedGroup &group) {
   group.run(milliseconds(2500));
   REQUIRE(group.leader());
   for (int i = 0; i < 20; ++i) {
@@ -61,24 +61,24 @@
 
 /// Restarts the members at the times in \p starts, and measures the recovery; a
 /// negative time means never.
-Return awaitReturn(SimulatedGroup &group,
-                   const std::vector<std::int64_t> &starts) {
+RecoveryTimes measureRecovery(SimulatedGroup &group,
+                              const std::vector<std::int64_t> &starts) {
   const std::size_t majority = group.size() / 2 + 1;
   auto sorted = starts;
   std::sort(sorted.begin(), sorted.end());
   const Duration from = milliseconds(sorted[majority - 1]);
   const TimePoint begin = group.now();
-  Return times;
-  while (group.now() - begin < from + Hopeless) {
+  RecoveryTimes times;
+  while (group.now() - begin < from + MeasurementLimit) {
     for (std::size_t i = 0; i < starts.size(); ++i)
       if (group.now() - begin >= milliseconds(starts[i]) && starts[i] >= 0)
         group.start(i);
     group.run(milliseconds(1));
-    const Duration past = group.now() - begin - from;
+    const Duration elapsed = group.now() - begin - from;
     if (group.leader())
-      times.ToLeader = std::min(times.ToLeader, past);
+      times.ToLeader = std::min(times.ToLeader, elapsed);
     if (group.freshCount() >= majority)
-      times.ToFresh = std::min(times.ToFresh, past);
+      times.ToFresh = std::min(times.ToFresh, elapsed);
   }
   return times;
 }
@@ -90,13 +90,13 @@
   return starts;
 }
 
-struct Spread {
+struct Percentiles {
   std::int64_t Median = 0;
   std::int64_t P95 = 0;
-  std::int64_t Most = 0;
+  std::int64_t Max = 0;
 };
 
-Spread spreadOf(std::vector<Duration> times) {
+Percentiles percentilesOf(std::vector<Duration> times) {
   std::sort(times.begin(), times.end());
   const auto at = [&](std::size_t percent) {
     return static_cast<std::int64_t>(
@@ -105,45 +105,45 @@
   return {at(50), at(95), at(100)};
 }
 
-/// Restarts groups of \p size, modified by \p change before they start.
-template <typename Change>
-void checkReturns(std::size_t size, std::uint64_t seeds, Change change) {
+/// Restarts groups of \p size, modified by \p modify before they start.
+template <typename Modify>
+void checkRecovery(std::size_t size, std::uint64_t seeds, Modify modify) {
   std::vector<Duration> toLeader;
   std::vector<Duration> toFresh;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     CAPTURE(seed);
     SimulatedGroup group(size, size, static_cast<int>(size), seed,
                          regionTiming());
-    killAllAtWork(group);
+    killAllUnderLoad(group);
     auto starts = drawStarts(group);
-    change(group, starts);
-    const auto times = awaitReturn(group, starts);
-    CHECK(group.fault() == "");
+    modify(group, starts);
+    const auto times = measureRecovery(group, starts);
+    CHECK(group.violation() == "");
     toLeader.push_back(times.ToLeader);
     toFresh.push_back(times.ToFresh);
   }
-  const auto leader = spreadOf(toLeader);
-  const auto fresh = spreadOf(toFresh);
+  const auto leader = percentilesOf(toLeader);
+  const auto fresh = percentilesOf(toFresh);
   MESSAGE("members ", size, ": leads after ", leader.Median,
-          " ms (95 %: ", leader.P95, ", most ", leader.Most,
+          " ms (95 %: ", leader.P95, ", most ", leader.Max,
           "), a majority is fresh after ", fresh.Median,
-          " ms (95 %: ", fresh.P95, ", most ", fresh.Most, ")");
-  CHECK(leader.Median < toMilliseconds(LeadLimit) / 2);
-  CHECK(leader.P95 <= toMilliseconds(LeadLimit));
-  CHECK(fresh.P95 <= toMilliseconds(LeadLimit));
-  CHECK(leader.Most < toMilliseconds(Hopeless));
+          " ms (95 %: ", fresh.P95, ", most ", fresh.Max, ")");
+  CHECK(leader.Median < toMilliseconds(MaxLeaderWait) / 2);
+  CHECK(leader.P95 <= toMilliseconds(MaxLeaderWait));
+  CHECK(fresh.P95 <= toMilliseconds(MaxLeaderWait));
+  CHECK(leader.Max < toMilliseconds(MeasurementLimit));
 }
 
 } // namespace
 
 TEST_CASE("Return_GroupLeadsOnceAMajorityRuns") {
   for (const std::size_t size : {3, 5})
-    checkReturns(size, 250, [](auto &, auto &) {});
+    checkRecovery(size, 250, [](auto &, auto &) {});
 }
 
 TEST_CASE("Return_MembersThatStartTogetherDoNotCollide") {
   for (const std::size_t size : {3, 5})
-    checkReturns(size, 250, [](auto &, auto &starts) {
+    checkRecovery(size, 250, [](auto &, auto &starts) {
       for (auto &it : starts)
         it %= 4;
     });
@@ -151,7 +151,7 @@
 
 TEST_CASE("Return_OneMemberComesMuchLater") {
   for (const std::size_t size : {3, 5})
-    checkReturns(size, 100, [](auto &group, auto &starts) {
+    checkRecovery(size, 100, [](auto &group, auto &starts) {
       starts[group.pick(starts.size())] = 2500;
     });
 }
@@ -160,7 +160,7 @@
   // It gets a new number and is no voter before the group has a leader, so only
   // the other members can vote.
   for (const std::size_t size : {3, 5})
-    checkReturns(size, 100, [](auto &group, auto &starts) {
+    checkRecovery(size, 100, [](auto &group, auto &starts) {
       const auto member = group.pick(starts.size());
       group.wipe(member);
       // The other members form the majority.
@@ -170,11 +170,11 @@
 
 TEST_CASE("Return_OneLinkIsDown") {
   for (const std::size_t size : {3, 5})
-    checkReturns(size, 200, [](auto &group, auto &starts) {
+    checkRecovery(size, 200, [](auto &group, auto &starts) {
       const auto one = group.pick(starts.size());
       const auto other = (one + 1) % starts.size();
-      group.cut(one, other);
-      group.cut(other, one);
+      group.blockLink(one, other);
+      group.blockLink(other, one);
       // If one link of the majority is down, it may need a member that starts
       // later.
       for (auto &it : starts)
@@ -184,11 +184,11 @@
 
 TEST_CASE("Return_OneMemberReachesNobody") {
   for (const std::size_t size : {3, 5})
-    checkReturns(size, 100, [](auto &group, auto &starts) {
+    checkRecovery(size, 100, [](auto &group, auto &starts) {
       const auto one = group.pick(starts.size());
       for (std::size_t i = 0; i < starts.size(); ++i) {
-        group.cut(one, i);
-        group.cut(i, one);
+        group.blockLink(one, i);
+        group.blockLink(i, one);
       }
       starts[one] = 0;
       for (std::size_t i = 0; i < starts.size(); ++i)
@@ -200,10 +200,10 @@
   // The other members defer to it, since it receives their messages, but they
   // never receive its messages.
   for (const std::size_t size : {3, 5})
-    checkReturns(size, 200, [](auto &group, auto &starts) {
+    checkRecovery(size, 200, [](auto &group, auto &starts) {
       const auto one = group.pick(starts.size());
       for (std::size_t i = 0; i < starts.size(); ++i)
-        group.mute(one, i);
+        group.dropMessages(one, i);
       for (auto &it : starts)
         it %= 4;
     });
@@ -211,10 +211,10 @@
 
 TEST_CASE("Return_OneMemberHearsNobody") {
   for (const std::size_t size : {3, 5})
-    checkReturns(size, 200, [](auto &group, auto &starts) {
+    checkRecovery(size, 200, [](auto &group, auto &starts) {
       const auto one = group.pick(starts.size());
       for (std::size_t i = 0; i < starts.size(); ++i)
-        group.mute(i, one);
+        group.dropMessages(i, one);
       for (auto &it : starts)
         it %= 4;
     });
@@ -226,15 +226,15 @@
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     CAPTURE(seed);
     auto timing = regionTiming();
-    timing.LeastDelay = milliseconds(10);
-    timing.MostDelay = milliseconds(40);
-    timing.LeastSync = milliseconds(10);
-    timing.MostSync = milliseconds(150);
+    timing.MinDelay = milliseconds(10);
+    timing.MaxDelay = milliseconds(40);
+    timing.MinSync = milliseconds(10);
+    timing.MaxSync = milliseconds(150);
     SimulatedGroup group(3, 3, 3, seed, timing);
     group.run(milliseconds(2500));
-    killAllAtWork(group);
-    const auto times = awaitReturn(group, drawStarts(group));
-    CHECK(group.fault() == "");
+    killAllUnderLoad(group);
+    const auto times = measureRecovery(group, drawStarts(group));
+    CHECK(group.violation() == "");
     CHECK(times.ToLeader <= milliseconds(2000));
   }
 }
--- a/src/consensus/tests/SimulatedGroup.cpp
+++ b/src/consensus/tests/SimulatedGroup.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Largest message that bypasses a link with a bypass for small ones.
-constexpr std::size_t SmallBytes = 16 << 10;
+constexpr std::size_t MaxBypassBytes = 16 << 10;
 
 std::uint64_t firstNumber(std::size_t member) { return 1000 + member; }
 
@@ -53,7 +53,7 @@
 SimulatedGroup::SimulatedGroup(std::size_t size, std::size_t bootstrapped,
                                int target, std::uint64_t seed,
                                SimulatedTiming timing)
-    : Members(size), Lives(size), DiskFreeAt(size), Random(seed),
+    : Members(size), Incarnations(size), DiskFreeAt(size), Random(seed),
       Timing(timing), TickPhases(size) {
   Options.TargetVoters = target;
   Options.SnapshotEntries = 12;
@@ -95,7 +95,7 @@
     identity.set_identity(number);
     it.Disk = {{identity}, false};
   }
-  ++Lives[member];
+  ++Incarnations[member];
   it.Applied.clear();
   it.AppliedIndex = 0;
   it.Node = std::make_unique<ConsensusNode>(memberOf(number, it.Ip), Options,
@@ -108,25 +108,25 @@
   if (!Timing.HasConnections)
     return;
   for (std::size_t i = 0; i < Members.size(); ++i) {
-    const bool isPossible = i != member && Members[i].Node &&
-                            !Cuts.contains({i, member}) &&
-                            !Cuts.contains({member, i});
-    if (!isPossible || Connections.contains({member, i}))
+    const bool canConnect = i != member && Members[i].Node &&
+                            !BlockedLinks.contains({i, member}) &&
+                            !BlockedLinks.contains({member, i});
+    if (!canConnect || Connections.contains({member, i}))
       continue;
     // A round trip opens the connection, and one more message identifies the
     // side that opened it.
-    const Duration there = draw(Timing.LeastDelay, Timing.MostDelay);
-    const Duration back = draw(Timing.LeastDelay, Timing.MostDelay);
+    const Duration there = draw(Timing.MinDelay, Timing.MaxDelay);
+    const Duration back = draw(Timing.MinDelay, Timing.MaxDelay);
     Event own;
     own.At = Now + there + back;
     own.Member = member;
-    own.Life = Lives[member];
+    own.Incarnation = Incarnations[member];
     own.From = i;
     own.IsConnection = true;
     Event other = own;
     other.At += there;
     other.Member = i;
-    other.Life = Lives[i];
+    other.Incarnation = Incarnations[i];
     other.From = member;
     post(std::move(own));
     post(std::move(other));
@@ -134,7 +134,7 @@
 }
 
 void SimulatedGroup::heal() {
-  Cuts.clear();
+  BlockedLinks.clear();
   for (std::size_t i = 0; i < Members.size(); ++i)
     if (Members[i].Node)
       connect(i);
@@ -143,7 +143,7 @@
 void SimulatedGroup::kill(std::size_t member) {
   // NOTE: unsynced records are lost with the events of this incarnation.
   Members[member].Node.reset();
-  ++Lives[member];
+  ++Incarnations[member];
   std::erase_if(Connections, [&](const auto &it) {
     return it.first == member || it.second == member;
   });
@@ -187,11 +187,11 @@
           wire::Message join;
           join.set_from(it.Node->self().number());
           *join.mutable_join_request()->mutable_member() = it.Node->self();
-          if (to != i && !Cuts.contains({i, to}) && isConnected(i, to))
+          if (to != i && !BlockedLinks.contains({i, to}) && isConnected(i, to))
             post({Now + milliseconds(2),
                   0,
                   to,
-                  Lives[to],
+                  Incarnations[to],
                   join,
                   0,
                   {},
@@ -212,7 +212,7 @@
     const auto number = it.Node->self().number();
     if (LeaderOfTerm.try_emplace(it.Node->term(), number).first->second !=
         number)
-      Fault = "two members lead in term " + std::to_string(it.Node->term());
+      Violation = "two members lead in term " + std::to_string(it.Node->term());
   }
 }
 
@@ -230,7 +230,7 @@
                it.voted_for() == message.to();
       });
   if (!isSynced)
-    Fault = "a vote is told before it is on disk";
+    Violation = "a vote is told before it is on disk";
 }
 
 std::size_t SimulatedGroup::freshCount() const {
@@ -247,7 +247,7 @@
 
 void SimulatedGroup::deliver(Event event) {
   auto &it = Members[event.Member];
-  if (!it.Node || event.Life != Lives[event.Member])
+  if (!it.Node || event.Incarnation != Incarnations[event.Member])
     return;
   if (event.IsConnection) {
     Connections.insert({event.Member, event.From});
@@ -282,9 +282,9 @@
       // The disk handles one write after the other.
       auto &freeAt = DiskFreeAt[member];
       freeAt = std::max({freeAt, Now, it.DiskStalledUntil}) +
-               draw(Timing.LeastSync, Timing.MostSync);
-      post({freeAt, 0, member, Lives[member], std::nullopt, effects.Ticket,
-            std::move(records), effects.MustRewrite, member});
+               draw(Timing.MinSync, Timing.MaxSync);
+      post({freeAt, 0, member, Incarnations[member], std::nullopt,
+            effects.Ticket, std::move(records), effects.MustRewrite, member});
     }
     for (auto &out : effects.Messages) {
       const auto to = memberAt(out.Ip);
@@ -293,13 +293,13 @@
       std::bernoulli_distribution isLost(Loss);
       if (to)
         SentBytes[{member, *to}] += out.Message.ByteSizeLong();
-      if (!to || Cuts.contains({member, *to}) || isLost(Random) ||
-          !isConnected(member, *to) || Mutes.contains({member, *to}))
+      if (!to || BlockedLinks.contains({member, *to}) || isLost(Random) ||
+          !isConnected(member, *to) || DroppingLinks.contains({member, *to}))
         continue;
       post({arrivalOf({member, *to}, out.Message.ByteSizeLong()),
             0,
             *to,
-            Lives[*to],
+            Incarnations[*to],
             std::move(out.Message),
             0,
             {},
@@ -310,13 +310,13 @@
       it.AppliedIndex = effects.Restored->index();
       const auto &state = effects.Restored->state();
       if (!state.starts_with(std::to_string(it.AppliedIndex) + ' '))
-        Fault = "a snapshot holds another state than its index says";
+        Violation = "a snapshot holds another state than its index says";
     }
     for (const auto &entry : effects.Committed)
       apply(member, entry);
     for (const auto token : effects.ConfirmedReads)
-      if (it.AppliedIndex < Reads[token].LeastIndex)
-        Fault = "a read misses an entry that was committed before it";
+      if (it.AppliedIndex < Reads[token].MinIndex)
+        Violation = "a read misses an entry that was committed before it";
     if (it.Node->wantsSnapshot() && it.AppliedIndex > 0)
       it.Node->takeSnapshot(it.AppliedIndex, stateAt(it.AppliedIndex));
     else if (effects.Ticket == 0 && effects.Messages.empty())
@@ -328,9 +328,10 @@
   return std::to_string(index) + ' ' + std::string(StateBytes, '.');
 }
 
-void SimulatedGroup::narrow(std::size_t from, std::size_t to,
-                            double bytesPerSecond, bool letsSmallBy) {
-  Lines[{from, to}] = {bytesPerSecond, letsSmallBy, Now};
+void SimulatedGroup::limitBandwidth(std::size_t from, std::size_t to,
+                                    double bytesPerSecond,
+                                    bool hasSmallBypass) {
+  Links[{from, to}] = {bytesPerSecond, hasSmallBypass, Now};
 }
 
 void SimulatedGroup::breakConnection(std::size_t one, std::size_t other) {
@@ -341,7 +342,7 @@
   });
   for (const auto &[from, to] :
        {std::pair(one, other), std::pair(other, one)}) {
-    if (const auto it = Lines.find({from, to}); it != Lines.end())
+    if (const auto it = Links.find({from, to}); it != Links.end())
       it->second.FreeAt = Now;
     if (!Members[from].Node)
       continue;
@@ -358,9 +359,10 @@
 TimePoint
 SimulatedGroup::arrivalOf(const std::pair<std::size_t, std::size_t> &pair,
                           std::size_t bytes) {
-  const Duration delay = draw(Timing.LeastDelay, Timing.MostDelay);
-  const auto it = Lines.find(pair);
-  if (it == Lines.end() || (it->second.LetsSmallBy && bytes <= SmallBytes))
+  const Duration delay = draw(Timing.MinDelay, Timing.MaxDelay);
+  const auto it = Links.find(pair);
+  if (it == Links.end() ||
+      (it->second.HasSmallBypass && bytes <= MaxBypassBytes))
     return Now + delay;
   constexpr double MillisecondsInSecond = 1000.0;
   const double time = static_cast<double>(bytes) * MillisecondsInSecond /
@@ -374,13 +376,13 @@
 void SimulatedGroup::apply(std::size_t member, const wire::Entry &entry) {
   auto &it = Members[member];
   if (entry.index() != it.AppliedIndex + 1)
-    Fault = "entries are applied out of turn";
+    Violation = "entries are applied out of turn";
   it.AppliedIndex = entry.index();
   const auto [known, isNew] =
       Committed.try_emplace(entry.index(), entry.command());
   if (!isNew && known->second != entry.command())
-    Fault = "two members applied different entries at index " +
-            std::to_string(entry.index());
+    Violation = "two members applied different entries at index " +
+                std::to_string(entry.index());
 }
 
 std::optional<std::size_t> SimulatedGroup::leader() const {
--- a/src/consensus/tests/SimulatedGroup.h
+++ b/src/consensus/tests/SimulatedGroup.h
@@ -38,9 +38,9 @@
 };
 
 /// A link of limited bandwidth from one member to another.
-struct SimulatedLine {
+struct SimulatedLink {
   double BytesPerSecond = 0;
-  bool LetsSmallBy = false;
+  bool HasSmallBypass = false;
   TimePoint FreeAt{};
 };
 
@@ -49,10 +49,10 @@
   Duration Step = milliseconds(10);
   /// Interval of a member's timer ticks; each member has its own phase.
   Duration TickInterval = milliseconds(10);
-  Duration LeastDelay = milliseconds(1);
-  Duration MostDelay = milliseconds(20);
-  Duration LeastSync = milliseconds(2);
-  Duration MostSync = milliseconds(15);
+  Duration MinDelay = milliseconds(1);
+  Duration MaxDelay = milliseconds(20);
+  Duration MinSync = milliseconds(2);
+  Duration MaxSync = milliseconds(15);
   /// Messages need a connection, which running members open and are notified
   /// of; otherwise every message has a path.
   bool HasConnections = false;
@@ -60,7 +60,7 @@
 
 struct ReadCheck {
   std::size_t Member = 0;
-  std::uint64_t LeastIndex = 0;
+  std::uint64_t MinIndex = 0;
 };
 
 class SimulatedGroup {
@@ -74,15 +74,19 @@
   void start(std::size_t member);
   void stallDisk(std::size_t member, Duration time);
   /// Messages from \p from to \p to are dropped.
-  void cut(std::size_t from, std::size_t to) { Cuts.insert({from, to}); }
+  void blockLink(std::size_t from, std::size_t to) {
+    BlockedLinks.insert({from, to});
+  }
   void heal();
   /// Messages are dropped, but connections open.
-  void mute(std::size_t from, std::size_t to) { Mutes.insert({from, to}); }
+  void dropMessages(std::size_t from, std::size_t to) {
+    DroppingLinks.insert({from, to});
+  }
   void setLoss(double share) { Loss = share; }
   /// Messages from \p from to \p to share a link of \p bytesPerSecond, in
-  /// order; small ones bypass it if \p letsSmallBy.
-  void narrow(std::size_t from, std::size_t to, double bytesPerSecond,
-              bool letsSmallBy);
+  /// order; small ones bypass it if \p hasSmallBypass.
+  void limitBandwidth(std::size_t from, std::size_t to, double bytesPerSecond,
+                      bool hasSmallBypass);
   /// Messages in flight between the two are lost, and both are notified.
   void breakConnection(std::size_t one, std::size_t other);
   /// Snapshots from now on have this many bytes more.
@@ -113,7 +117,7 @@
     return Members[member].Node->membership();
   }
   /// The last violation of an invariant, or empty.
-  const std::string &fault() const { return Fault; }
+  const std::string &violation() const { return Violation; }
   std::mt19937_64 &random() { return Random; }
   std::size_t pick(std::size_t n) { return Random() % n; }
 
@@ -123,7 +127,7 @@
     std::uint64_t Order = 0;
     /// Receiver of the message, or owner of the disk.
     std::size_t Member = 0;
-    std::uint64_t Life = 0;
+    std::uint64_t Incarnation = 0;
     std::optional<wire::Message> Message;
     std::uint64_t Ticket = 0;
     std::vector<wire::Record> Records;
@@ -155,22 +159,22 @@
   Duration draw(Duration least, Duration most);
 
   std::vector<SimulatedMember> Members;
-  std::vector<std::uint64_t> Lives;
+  std::vector<std::uint64_t> Incarnations;
   std::vector<TimePoint> DiskFreeAt;
   ConsensusOptions Options;
   std::mt19937_64 Random;
   TimePoint Now = TimePoint(std::chrono::seconds(1));
   std::uint64_t Order = 0;
   std::vector<Event> Events;
-  std::set<std::pair<std::size_t, std::size_t>> Cuts;
-  std::set<std::pair<std::size_t, std::size_t>> Mutes;
+  std::set<std::pair<std::size_t, std::size_t>> BlockedLinks;
+  std::set<std::pair<std::size_t, std::size_t>> DroppingLinks;
   SimulatedTiming Timing;
   /// By sender and receiver.
   std::set<std::pair<std::size_t, std::size_t>> Connections;
   std::vector<Duration> TickPhases;
   std::map<std::uint64_t, MemberNumber> LeaderOfTerm;
   double Loss = 0.0;
-  std::map<std::pair<std::size_t, std::size_t>, SimulatedLine> Lines;
+  std::map<std::pair<std::size_t, std::size_t>, SimulatedLink> Links;
   std::map<std::pair<std::size_t, std::size_t>, std::size_t> SentBytes;
   std::size_t StateBytes = 0;
   /// By index, the command that a member applied first.
@@ -178,7 +182,7 @@
   std::map<std::uint64_t, ReadCheck> Reads;
   std::uint64_t LastRead = 0;
   std::uint64_t LastCommand = 0;
-  std::string Fault;
+  std::string Violation;
 };
 
 } // namespace stepledge::consensus::tests
--- a/src/consensus/types/ConsensusOptions.h
+++ b/src/consensus/types/ConsensusOptions.h
@@ -24,8 +24,8 @@
   /// message of a leader arrives; a new connection to a voter starts one
   /// earlier. Long enough for two round trips and a timer tick. Longer pauses
   /// would only delay groups in which one member receives no messages.
-  Duration LeastFirstTrial = milliseconds(40);
-  Duration MostFirstTrial = milliseconds(120);
+  Duration MinStartupPreVotePause = milliseconds(40);
+  Duration MaxStartupPreVotePause = milliseconds(120);
   /// For this time after a connection to another voter opens, members that have
   /// no leader become candidates in order: the newest log first, then the
   /// lowest number. A member that deferred to an earlier one waits for the same
@@ -33,7 +33,7 @@
   /// in order without it. The time covers a pre-vote, a vote and the first
   /// entry with two syncs each, some ten round trips within a region; the next
   /// pre-vote after it still comes before callers give up.
-  Duration OrderTime = milliseconds(60);
+  Duration OrderedCandidacyTime = milliseconds(60);
   /// After a start, until the first message of a leader arrives: the minimum
   /// time from the first election to the next pre-vote; a random time of up to
   /// as much again is added. After that election it is ElectionTimeout: votes
@@ -62,19 +62,19 @@
   /// Maximum bytes of entries in one message; a larger entry is sent alone.
   std::uint64_t BatchBytes = 256 << 10;
   /// An unanswered batch or snapshot is sent again after this time, then after
-  /// twice as long each time, up to LongestResend. A message is lost only with
-  /// its connection, and then it is sent again at once; a late reply therefore
-  /// means a slow link, on which a copy delays everything behind it.
-  Duration ResendAfter = milliseconds(400);
+  /// twice as long each time, up to MaxResendInterval. A message is lost only
+  /// with its connection, and then it is sent again at once; a late reply
+  /// therefore means a slow link, on which a copy delays everything behind it.
+  Duration FirstResendInterval = milliseconds(400);
   /// Maximum time that a member which was unreachable without losing its
   /// connection waits for its entries. Below ReplaceAfter, which would have it
   /// replaced.
-  Duration LongestResend = milliseconds(1600);
+  Duration MaxResendInterval = milliseconds(1600);
   /// Each resend time is extended by the time that its bytes take at this rate:
   /// half the rate of the narrowest links between VMs. Without it, three
   /// entries of 205 KB each took 1,233 KB of such a link (250 KB/s) instead of
   /// 619 KB.
-  std::uint64_t LeastBytesPerSecond = 125'000;
+  std::uint64_t MinBytesPerSecond = 125'000;
 };
 
 } // namespace stepledge::consensus
--- a/src/distribution/ChangeCodec.cpp
+++ b/src/distribution/ChangeCodec.cpp
@@ -47,9 +47,9 @@
   return policy <= static_cast<std::uint32_t>(ReadPolicy::ReadYourWrites);
 }
 
-void encodeRoutes(const ConfigurationChange &change, wire::Change &out) {
+void encodeRoutes(const ConfigurationChange &delta, wire::Change &out) {
   std::map<decltype(settingsOf(Route())), wire::RouteGroup *> groups;
-  for (const auto &[database, route] : change.Routes) {
+  for (const auto &[database, route] : delta.Routes) {
     auto &group = groups[settingsOf(route)];
     if (!group) {
       group = out.add_routes();
@@ -57,23 +57,23 @@
     }
     group->add_databases(database.str());
   }
-  for (const auto &it : change.RemovedRoutes)
+  for (const auto &it : delta.RemovedRoutes)
     out.add_removed_routes(it.str());
 }
 
-void encodeServices(const ConfigurationChange &change, wire::Change &out) {
-  for (const auto &[name, service] : change.Services) {
+void encodeServices(const ConfigurationChange &delta, wire::Change &out) {
+  for (const auto &[name, service] : delta.Services) {
     auto &it = *out.add_services();
     it.set_name(name);
     it.set_max_connections(service.MaxConnections);
     it.set_sync_replicas(service.SyncReplicas);
   }
-  for (const auto &it : change.RemovedServices)
+  for (const auto &it : delta.RemovedServices)
     out.add_removed_services(it);
 }
 
-void encodeOrganisations(const ConfigurationChange &change, wire::Change &out) {
-  for (const auto &[id, organisation] : change.Organisations) {
+void encodeOrganisations(const ConfigurationChange &delta, wire::Change &out) {
+  for (const auto &[id, organisation] : delta.Organisations) {
     auto &it = *out.add_organisations();
     it.set_id(id.str());
     for (const auto &key : organisation.Keys)
@@ -82,13 +82,13 @@
     it.set_rate_per_second(organisation.RatePerSecond);
     it.set_burst(organisation.Burst);
   }
-  for (const auto &it : change.RemovedOrganisations)
+  for (const auto &it : delta.RemovedOrganisations)
     out.add_removed_organisations(it.str());
-  out.set_has_organisations(change.HasOrganisations);
+  out.set_has_organisations(delta.HasOrganisations);
 }
 
 /// False if a key is not a digest.
-bool decodeOrganisations(const wire::Change &in, ConfigurationChange &change) {
+bool decodeOrganisations(const wire::Change &in, ConfigurationChange &delta) {
   for (const auto &it : in.organisations()) {
     control::Organisation organisation;
     organisation.Id = OrganisationId(it.id());
@@ -101,56 +101,56 @@
     organisation.Priority = it.priority();
     organisation.RatePerSecond = it.rate_per_second();
     organisation.Burst = it.burst();
-    change.Organisations.insert_or_assign(organisation.Id, organisation);
+    delta.Organisations.insert_or_assign(organisation.Id, organisation);
   }
   for (const auto &it : in.removed_organisations())
-    change.RemovedOrganisations.insert(OrganisationId(it));
-  change.HasOrganisations = in.has_organisations();
+    delta.RemovedOrganisations.insert(OrganisationId(it));
+  delta.HasOrganisations = in.has_organisations();
   return true;
 }
 
 } // namespace
 
-std::string encodeChange(const ConfigurationChange &change) {
+std::string encodeChange(const ConfigurationChange &delta) {
   wire::Change out;
-  out.set_from(change.From);
-  out.set_to(change.To);
-  encodeRoutes(change, out);
-  encodeServices(change, out);
-  encodeOrganisations(change, out);
-  out.set_transaction_idle_limit_us(change.TransactionIdleLimit.count());
-  out.set_digest(change.Digest);
+  out.set_from(delta.From);
+  out.set_to(delta.To);
+  encodeRoutes(delta, out);
+  encodeServices(delta, out);
+  encodeOrganisations(delta, out);
+  out.set_transaction_idle_limit_us(delta.TransactionIdleLimit.count());
+  out.set_digest(delta.Digest);
   return out.SerializeAsString();
 }
 
-std::optional<ConfigurationChange> decodeChange(const std::string &bytes) {
+std::optional<ConfigurationChange> decodeDelta(const std::string &bytes) {
   wire::Change in;
   if (!in.ParseFromString(bytes))
     return std::nullopt;
-  ConfigurationChange change;
-  change.From = in.from();
-  change.To = in.to();
+  ConfigurationChange delta;
+  delta.From = in.from();
+  delta.To = in.to();
   for (const auto &group : in.routes()) {
     if (!isKnownPolicy(group.policy()))
       return std::nullopt;
     Route route = decodeSettings(group);
     for (const auto &database : group.databases()) {
       route.Database = DatabaseId(database);
-      change.Routes.insert_or_assign(route.Database, route);
+      delta.Routes.insert_or_assign(route.Database, route);
     }
   }
   for (const auto &it : in.removed_routes())
-    change.RemovedRoutes.insert(DatabaseId(it));
+    delta.RemovedRoutes.insert(DatabaseId(it));
   for (const auto &it : in.services())
-    change.Services[it.name()] = {it.name(), it.max_connections(),
-                                  it.sync_replicas()};
-  change.RemovedServices.insert(in.removed_services().begin(),
-                                in.removed_services().end());
-  if (!decodeOrganisations(in, change))
+    delta.Services[it.name()] = {it.name(), it.max_connections(),
+                                 it.sync_replicas()};
+  delta.RemovedServices.insert(in.removed_services().begin(),
+                               in.removed_services().end());
+  if (!decodeOrganisations(in, delta))
     return std::nullopt;
-  change.TransactionIdleLimit = Duration(in.transaction_idle_limit_us());
-  change.Digest = in.digest();
-  return change;
+  delta.TransactionIdleLimit = Duration(in.transaction_idle_limit_us());
+  delta.Digest = in.digest();
+  return delta;
 }
 
 } // namespace stepledge::distribution
--- a/src/distribution/ChangeCodec.h
+++ b/src/distribution/ChangeCodec.h
@@ -14,10 +14,10 @@
 namespace stepledge::distribution {
 
 /// Returns the same bytes for equal deltas.
-std::string encodeChange(const ConfigurationChange &change);
+std::string encodeChange(const ConfigurationChange &delta);
 
 /// Returns nothing if \p bytes can't be decoded.
-std::optional<ConfigurationChange> decodeChange(const std::string &bytes);
+std::optional<ConfigurationChange> decodeDelta(const std::string &bytes);
 
 } // namespace stepledge::distribution
 
--- a/src/distribution/ConfigurationFetch.cpp
+++ b/src/distribution/ConfigurationFetch.cpp
@@ -16,14 +16,14 @@
     return false;
   // NOTE: a part in flight is never requested again: on a narrow link, the
   // copies take all bandwidth, and none arrives in time.
-  const bool isUnderWay = !Ip.empty();
-  const Duration limit = ip == Ip ? 2 * Patience : Patience;
-  if (isUnderWay && behind(now) <= limit)
+  const bool isInProgress = !Ip.empty();
+  const Duration limit = ip == Ip ? 2 * Timeout : Timeout;
+  if (isInProgress && lagBehindMinRate(now) <= limit)
     return false;
-  if (isUnderWay)
-    waitLonger();
+  if (isInProgress)
+    doubleTimeout();
   Ip = ip;
-  Held = held;
+  HeldVersion = held;
   ++Fetch;
   Received.clear();
   StartedAt = now;
@@ -31,21 +31,22 @@
   return true;
 }
 
-Duration ConfigurationFetch::behind(TimePoint now) const {
+Duration ConfigurationFetch::lagBehindMinRate(TimePoint now) const {
   constexpr std::int64_t MicrosecondsInSecond = 1'000'000;
   const auto bytes = static_cast<std::int64_t>(Received.size());
-  return now - StartedAt - Duration(bytes * MicrosecondsInSecond / SlowestPace);
+  return now - StartedAt -
+         Duration(bytes * MicrosecondsInSecond / MinBytesPerSecond);
 }
 
-void ConfigurationFetch::waitLonger() {
-  Patience = std::min(2 * Patience, LongestPatience);
+void ConfigurationFetch::doubleTimeout() {
+  Timeout = std::min(2 * Timeout, MaxTimeout);
 }
 
 void ConfigurationFetch::ask() {
   peer::wire::Message message;
   auto &request = *message.mutable_configuration_request();
   request.set_fetch(Fetch);
-  request.set_held_version(Held);
+  request.set_held_version(HeldVersion);
   request.set_offset(Received.size());
   Peers.send(Ip, message);
 }
@@ -63,16 +64,16 @@
     return PartResult::Taken;
   }
   finish();
-  auto change = decodeChange(std::exchange(Received, {}));
-  if (!change)
+  auto delta = decodeDelta(std::exchange(Received, {}));
+  if (!delta)
     return PartResult::Unreadable;
-  Change = *std::move(change);
+  Delta = *std::move(delta);
   return PartResult::Complete;
 }
 
 void ConfigurationFetch::reject(TimePoint now) {
-  NotBefore = now + Patience;
-  waitLonger();
+  NotBefore = now + Timeout;
+  doubleTimeout();
 }
 
 void ConfigurationFetch::lost(const std::string &ip) {
--- a/src/distribution/ConfigurationFetch.h
+++ b/src/distribution/ConfigurationFetch.h
@@ -31,17 +31,17 @@
 
 class ConfigurationFetch {
 public:
-  /// A fetch that is behind SlowestPace by more than this starts again, at
-  /// another control VM if one is announced; it is some sixty times the
+  /// A fetch that is behind MinBytesPerSecond by more than this starts again,
+  /// at another control VM if one is announced; it is some sixty times the
   /// transfer time of a part on a link of 2 Mbit/s. The limit doubles with each
   /// such restart, so that repeats can't fill a link that is slower than
-  /// SlowestPace.
-  static constexpr Duration FirstPatience = milliseconds(1000);
-  static constexpr Duration LongestPatience = milliseconds(8000);
+  /// MinBytesPerSecond.
+  static constexpr Duration InitialTimeout = milliseconds(1000);
+  static constexpr Duration MaxTimeout = milliseconds(8000);
   /// Bytes per second: a quarter of a link of 2 Mbit/s. Without it, a control
   /// VM that sent a part of 4 KB each 0.9 s was kept for 11.7 s, while another
   /// one could have sent all 13 parts within 0.3 s.
-  static constexpr std::int64_t SlowestPace = 64 << 10;
+  static constexpr std::int64_t MinBytesPerSecond = 64 << 10;
 
   explicit ConfigurationFetch(peer::IPeerSender &peers) : Peers(peers) {}
 
@@ -52,10 +52,10 @@
   PartResult take(const std::string &ip,
                   const peer::wire::ConfigurationPart &part);
   /// The delta of the last take() that returned Complete.
-  const ConfigurationChange &change() const { return Change; }
+  const ConfigurationChange &change() const { return Delta; }
   /// The delta was applied.
-  void accept() { Patience = FirstPatience; }
-  /// The delta could not be applied: the next fetch waits for Patience, and
+  void accept() { Timeout = InitialTimeout; }
+  /// The delta could not be applied: the next fetch waits for Timeout, and
   /// twice as long after each further rejection. Without this delay, 240
   /// fetches went over the link in 10 s when six control VMs announced their
   /// versions each 250 ms.
@@ -66,21 +66,21 @@
 private:
   void ask();
   void finish() { Ip.clear(); }
-  void waitLonger();
-  /// Time by which the fetch is behind SlowestPace.
-  Duration behind(TimePoint now) const;
+  void doubleTimeout();
+  /// Time by which the fetch is behind MinBytesPerSecond.
+  Duration lagBehindMinRate(TimePoint now) const;
 
   peer::IPeerSender &Peers;
   /// Address of the control VM of the current fetch; empty without one.
   std::string Ip;
   std::uint64_t Fetch = 0;
-  std::uint64_t Held = 0;
+  std::uint64_t HeldVersion = 0;
   std::string Received;
   TimePoint StartedAt{};
   /// Earliest time of the next fetch after a rejected delta.
   TimePoint NotBefore{};
-  Duration Patience = FirstPatience;
-  ConfigurationChange Change;
+  Duration Timeout = InitialTimeout;
+  ConfigurationChange Delta;
 };
 
 } // namespace stepledge::distribution
--- a/src/distribution/ConfigurationHistory.h
+++ b/src/distribution/ConfigurationHistory.h
@@ -24,21 +24,21 @@
 
   /// Returns the encoded delta from \p version to the newest configuration; the
   /// full configuration if that version is unknown or the delta isn't shorter.
-  std::shared_ptr<const std::string> changeFrom(std::uint64_t version);
+  std::shared_ptr<const std::string> deltaFrom(std::uint64_t version);
 
 private:
-  using StepIterator = std::deque<ConfigurationChange>::const_iterator;
+  using DeltaIterator = std::deque<ConfigurationChange>::const_iterator;
 
   /// Encodes the deltas from \p first on as one; the full configuration if \p
   /// first is the end.
-  std::string encodeFrom(const StepIterator &first) const;
+  std::string encodeFrom(const DeltaIterator &first) const;
 
   control::Configuration Newest;
   /// Each delta starts at the version where the previous one ends; the last one
   /// ends at the newest version.
-  std::deque<ConfigurationChange> Steps;
-  /// Total number of routes in Steps.
-  std::size_t StepRoutes = 0;
+  std::deque<ConfigurationChange> Deltas;
+  /// Total number of routes in Deltas.
+  std::size_t DeltaRoutes = 0;
   /// Requested encoded deltas to the newest configuration by the version they
   /// start from; 0 for the full configuration, which serves all unknown
   /// versions.
--- a/src/distribution/ConfigurationSender.cpp
+++ b/src/distribution/ConfigurationSender.cpp
@@ -15,13 +15,13 @@
     return std::nullopt;
   if (isNew)
     Transfers[ip] = {request.fetch(),
-                     History.changeFrom(request.held_version())};
+                     History.deltaFrom(request.held_version())};
   const auto it = Transfers.find(ip);
   const bool isKnown =
       it != Transfers.end() && it->second.Fetch == request.fetch();
-  if (!isKnown || request.offset() >= it->second.Change->size())
+  if (!isKnown || request.offset() >= it->second.Delta->size())
     return std::nullopt;
-  const std::string &bytes = *it->second.Change;
+  const std::string &bytes = *it->second.Delta;
   const auto n = std::min(PartBytes, bytes.size() - request.offset());
   peer::wire::ConfigurationPart part;
   part.set_fetch(request.fetch());
--- a/src/distribution/ConfigurationSender.h
+++ b/src/distribution/ConfigurationSender.h
@@ -40,7 +40,7 @@
 private:
   struct Transfer {
     std::uint64_t Fetch = 0;
-    std::shared_ptr<const std::string> Change;
+    std::shared_ptr<const std::string> Delta;
   };
 
   ConfigurationHistory History;
--- a/src/distribution/tests/ConfigurationChangeTest.cpp
+++ b/src/distribution/tests/ConfigurationChangeTest.cpp
@@ -24,7 +24,8 @@
 }
 
 /// Returns random routes and services.
-Configuration drawn(std::uint64_t version, std::mt19937_64 &random) {
+Configuration randomConfiguration(std::uint64_t version,
+                                  std::mt19937_64 &random) {
   const auto pick = [&random](int n) {
     return std::uniform_int_distribution<int>(0, n - 1)(random);
   };
@@ -59,7 +60,7 @@
   return configuration;
 }
 
-bool isAlike(const Configuration &a, const Configuration &b) {
+bool isEqual(const Configuration &a, const Configuration &b) {
   return a.Version == b.Version && a.Routes == b.Routes &&
          a.Services == b.Services && a.Organisations == b.Organisations &&
          a.HasOrganisations == b.HasOrganisations &&
@@ -71,23 +72,23 @@
 TEST_CASE("ConfigurationChange_LeadsFromOneToTheOther") {
   std::mt19937_64 random(7);
   for (std::uint64_t i = 1; i <= 300; ++i) {
-    const auto from = drawn(3 * i, random);
-    const auto middle = drawn(3 * i + 1, random);
-    const auto to = drawn(3 * i + 2, random);
-    auto change = changeBetween(from, middle);
-    extendChange(change, changeBetween(middle, to));
-    const auto decoded = decodeChange(encodeChange(change));
+    const auto from = randomConfiguration(3 * i, random);
+    const auto middle = randomConfiguration(3 * i + 1, random);
+    const auto to = randomConfiguration(3 * i + 2, random);
+    auto delta = changeBetween(from, middle);
+    extendDelta(delta, changeBetween(middle, to));
+    const auto decoded = decodeDelta(encodeChange(delta));
     REQUIRE(decoded);
     auto result = from;
     REQUIRE(applyChange(result, *decoded));
-    CHECK(isAlike(result, to));
+    CHECK(isEqual(result, to));
   }
 }
 
 TEST_CASE("ConfigurationChange_FitsOnlyWhatItStartsFrom") {
   auto held = routes(3, 10);
-  const auto change = changeBetween(routes(4, 10), routes(5, 12));
-  CHECK(!applyChange(held, change));
+  const auto delta = changeBetween(routes(4, 10), routes(5, 12));
+  CHECK(!applyChange(held, delta));
   // The digest shows that the same version has different content.
   auto other = routes(4, 10, 900);
   CHECK(!applyChange(other, changeBetween(routes(4, 11), routes(5, 12))));
@@ -96,11 +97,11 @@
 TEST_CASE("ConfigurationChange_WholeReplacesAnything") {
   auto held = routes(3, 10);
   CHECK(applyChange(held, changeBetween({}, routes(9, 4))));
-  CHECK(isAlike(held, routes(9, 4)));
+  CHECK(isEqual(held, routes(9, 4)));
 }
 
 TEST_CASE("ConfigurationChange_OtherBytesAreNoChange") {
-  CHECK(!decodeChange("no change"));
+  CHECK(!decodeDelta("no change"));
 }
 
 TEST_CASE("ConfigurationChange_SizeBenchmark") {
@@ -108,9 +109,9 @@
   // sent as much to an entry VM. Encoded they take 17 KB, and one changed route
   // among them takes 28 bytes.
   const std::string document = routeListDocument(2, 1400);
-  const auto whole = encodeChange(changeBetween({}, routes(2, 1400)));
+  const auto full = encodeChange(changeBetween({}, routes(2, 1400)));
   CHECK(document.size() > 250'000);
-  CHECK(whole.size() < 20'000);
+  CHECK(full.size() < 20'000);
   const auto one = changeBetween(routes(2, 1400), routes(3, 1400, 900));
   CHECK(encodeChange(one).size() < 60);
 }
@@ -127,20 +128,20 @@
   Configuration to = from;
   to.Version = 2;
   to.Organisations[OrganisationId("o7")].Keys.clear();
-  const auto change = changeBetween(from, to);
-  CHECK(change.Organisations.size() == 1);
-  CHECK(encodeChange(change).size() < 64);
-  REQUIRE(applyChange(from, change));
-  CHECK(isAlike(from, to));
+  const auto delta = changeBetween(from, to);
+  CHECK(delta.Organisations.size() == 1);
+  CHECK(encodeChange(delta).size() < 64);
+  REQUIRE(applyChange(from, delta));
+  CHECK(isEqual(from, to));
 }
 
 TEST_CASE("ConfigurationChange_KeyOfAnotherLengthIsRefused") {
-  ConfigurationChange change;
+  ConfigurationChange delta;
   control::Organisation organisation;
   organisation.Id = OrganisationId("o");
   organisation.Keys = {KeyDigest::of("k")};
-  change.Organisations[organisation.Id] = organisation;
-  std::string bytes = encodeChange(change);
+  delta.Organisations[organisation.Id] = organisation;
+  std::string bytes = encodeChange(delta);
   const auto at = bytes.find(KeyDigest::of("k").toBytes());
   REQUIRE(at != std::string::npos);
   // Removes one byte from the key, and adjusts the lengths of the key and of
@@ -148,5 +149,5 @@
   bytes.erase(at, 1);
   --bytes[at - 1];
   --bytes[at - 6];
-  CHECK_FALSE(decodeChange(bytes));
+  CHECK_FALSE(decodeDelta(bytes));
 }
--- a/src/distribution/tests/ConfigurationHistoryTest.cpp
+++ b/src/distribution/tests/ConfigurationHistoryTest.cpp
@@ -22,11 +22,11 @@
   return *decodeRouteList(routeListDocument(version, count, timeoutMs));
 }
 
-ConfigurationChange changeFrom(ConfigurationHistory &history,
-                               std::uint64_t version) {
-  const auto change = decodeChange(*history.changeFrom(version));
-  REQUIRE(change);
-  return *change;
+ConfigurationChange deltaFrom(ConfigurationHistory &history,
+                              std::uint64_t version) {
+  const auto delta = decodeDelta(*history.deltaFrom(version));
+  REQUIRE(delta);
+  return *delta;
 }
 
 } // namespace
@@ -36,11 +36,11 @@
   history.take(routes(3, 100));
   history.take(routes(5, 100, 810));
   history.take(routes(8, 101, 820));
-  const auto change = changeFrom(history, 3);
-  CHECK(change.From == 3);
-  CHECK(change.To == 8);
-  CHECK(change.size() == 2);
-  CHECK(changeFrom(history, 5).From == 5);
+  const auto delta = deltaFrom(history, 3);
+  CHECK(delta.From == 3);
+  CHECK(delta.To == 8);
+  CHECK(delta.size() == 2);
+  CHECK(deltaFrom(history, 5).From == 5);
 }
 
 TEST_CASE("ConfigurationHistory_UnknownVersionGetsTheWhole") {
@@ -48,18 +48,18 @@
   history.take(routes(3, 100));
   history.take(routes(5, 100, 810));
   for (const std::uint64_t version : {0, 2, 4}) {
-    const auto change = changeFrom(history, version);
-    CHECK(change.From == 0);
-    CHECK(change.Routes.size() == 100);
+    const auto delta = deltaFrom(history, version);
+    CHECK(delta.From == 0);
+    CHECK(delta.Routes.size() == 100);
   }
 }
 
 TEST_CASE("ConfigurationHistory_AllUnknownVersionsShareOneWhole") {
   ConfigurationHistory history;
   history.take(routes(300, 100));
-  const auto whole = history.changeFrom(0);
+  const auto full = history.deltaFrom(0);
   for (std::uint64_t version = 1; version < 300; ++version)
-    CHECK(history.changeFrom(version) == whole);
+    CHECK(history.deltaFrom(version) == full);
 }
 
 TEST_CASE("ConfigurationHistory_KeepsNoMoreThanTheWholeWouldTake") {
@@ -68,15 +68,15 @@
   // Each configuration removes or adds all routes outside the shared ones.
   history.take(routes(2, 20));
   history.take(routes(3, 100));
-  CHECK(changeFrom(history, 1).From == 0);
-  CHECK(changeFrom(history, 2).From == 2);
+  CHECK(deltaFrom(history, 1).From == 0);
+  CHECK(deltaFrom(history, 2).From == 2);
 }
 
 TEST_CASE("ConfigurationHistory_ForgetsTheOldestChanges") {
   ConfigurationHistory history;
   for (std::uint64_t version = 1; version <= 100; ++version)
     history.take(routes(version, 200, static_cast<int>(version)));
-  CHECK(changeFrom(history, 2).From == 0);
-  CHECK(changeFrom(history, 50).From == 50);
-  CHECK(changeFrom(history, 50).size() == 1);
+  CHECK(deltaFrom(history, 2).From == 0);
+  CHECK(deltaFrom(history, 50).From == 50);
+  CHECK(deltaFrom(history, 50).size() == 1);
 }
--- a/src/distribution/types/ConfigurationChange.cpp
+++ b/src/distribution/types/ConfigurationChange.cpp
@@ -93,47 +93,46 @@
 
 ConfigurationChange changeBetween(const control::Configuration &from,
                                   const control::Configuration &to) {
-  ConfigurationChange change;
-  change.From = from.Version;
-  change.To = to.Version;
-  compare(from.Routes, to.Routes, change.Routes, change.RemovedRoutes);
-  compare(from.Services, to.Services, change.Services, change.RemovedServices);
-  compare(from.Organisations, to.Organisations, change.Organisations,
-          change.RemovedOrganisations);
-  change.HasOrganisations = to.HasOrganisations;
-  change.TransactionIdleLimit = to.TransactionIdleLimit;
-  change.Digest = digestOf(to);
-  return change;
+  ConfigurationChange delta;
+  delta.From = from.Version;
+  delta.To = to.Version;
+  compare(from.Routes, to.Routes, delta.Routes, delta.RemovedRoutes);
+  compare(from.Services, to.Services, delta.Services, delta.RemovedServices);
+  compare(from.Organisations, to.Organisations, delta.Organisations,
+          delta.RemovedOrganisations);
+  delta.HasOrganisations = to.HasOrganisations;
+  delta.TransactionIdleLimit = to.TransactionIdleLimit;
+  delta.Digest = digestOf(to);
+  return delta;
 }
 
-void extendChange(ConfigurationChange &change,
-                  const ConfigurationChange &next) {
-  extend(change.Routes, change.RemovedRoutes, next.Routes, next.RemovedRoutes);
-  extend(change.Services, change.RemovedServices, next.Services,
+void extendDelta(ConfigurationChange &delta, const ConfigurationChange &next) {
+  extend(delta.Routes, delta.RemovedRoutes, next.Routes, next.RemovedRoutes);
+  extend(delta.Services, delta.RemovedServices, next.Services,
          next.RemovedServices);
-  extend(change.Organisations, change.RemovedOrganisations, next.Organisations,
+  extend(delta.Organisations, delta.RemovedOrganisations, next.Organisations,
          next.RemovedOrganisations);
-  change.HasOrganisations = next.HasOrganisations;
-  change.To = next.To;
-  change.TransactionIdleLimit = next.TransactionIdleLimit;
-  change.Digest = next.Digest;
+  delta.HasOrganisations = next.HasOrganisations;
+  delta.To = next.To;
+  delta.TransactionIdleLimit = next.TransactionIdleLimit;
+  delta.Digest = next.Digest;
 }
 
 bool applyChange(control::Configuration &configuration,
-                 const ConfigurationChange &change) {
-  const bool isWhole = change.From == 0;
-  if (!isWhole && change.From != configuration.Version)
+                 const ConfigurationChange &delta) {
+  const bool isFull = delta.From == 0;
+  if (!isFull && delta.From != configuration.Version)
     return false;
-  if (isWhole)
+  if (isFull)
     configuration = {};
-  apply(configuration.Routes, change.Routes, change.RemovedRoutes);
-  apply(configuration.Services, change.Services, change.RemovedServices);
-  apply(configuration.Organisations, change.Organisations,
-        change.RemovedOrganisations);
-  configuration.HasOrganisations = change.HasOrganisations;
-  configuration.Version = change.To;
-  configuration.TransactionIdleLimit = change.TransactionIdleLimit;
-  return digestOf(configuration) == change.Digest;
+  apply(configuration.Routes, delta.Routes, delta.RemovedRoutes);
+  apply(configuration.Services, delta.Services, delta.RemovedServices);
+  apply(configuration.Organisations, delta.Organisations,
+        delta.RemovedOrganisations);
+  configuration.HasOrganisations = delta.HasOrganisations;
+  configuration.Version = delta.To;
+  configuration.TransactionIdleLimit = delta.TransactionIdleLimit;
+  return digestOf(configuration) == delta.Digest;
 }
 
 std::uint64_t digestOf(const control::Configuration &configuration) {
--- a/src/distribution/types/ConfigurationChange.h
+++ b/src/distribution/types/ConfigurationChange.h
@@ -40,15 +40,15 @@
 ConfigurationChange changeBetween(const control::Configuration &from,
                                   const control::Configuration &to);
 
-/// Extends \p change by \p next, which starts at the version where \p change
+/// Extends \p delta by \p next, which starts at the version where \p delta
 /// ends.
-void extendChange(ConfigurationChange &change, const ConfigurationChange &next);
+void extendDelta(ConfigurationChange &delta, const ConfigurationChange &next);
 
-/// Applies \p change. False if \p configuration isn't the version that the
+/// Applies \p delta. False if \p configuration isn't the version that the
 /// delta starts from, or the result differs from the sender's configuration; \p
 /// configuration is then unusable.
 bool applyChange(control::Configuration &configuration,
-                 const ConfigurationChange &change);
+                 const ConfigurationChange &delta);
 
 /// Returns the same digest for equal configurations on every VM.
 std::uint64_t digestOf(const control::Configuration &configuration);
