--- a/src/consensus/LogStore.cpp
+++ b/src/consensus/LogStore.cpp
@@ -150,7 +150,7 @@
     if (Descriptor < 0 ||
         ::ftruncate(Descriptor, static_cast<off_t>(offset)) != 0 ||
         ::fsync(Descriptor) != 0)
-      return failure("cannot cut the torn end of the log");
+      return failure("cannot truncate the torn end of the log");
     Size = offset;
     std::erase_if(log.State.Entries, [&](const wire::Entry &it) {
       return it.index() <= log.State.Snapshot.index();
@@ -162,7 +162,7 @@
 
 absl::Status LogStore::append(const std::vector<wire::Record> &records) {
   if (Descriptor < 0)
-    return absl::FailedPreconditionError("the log has no file");
+    return absl::FailedPreconditionError("the log file is not open");
   const std::string bytes = frameAll(records);
   if (!writeAll(Descriptor, bytes, Size))
     return failure("cannot write the log");
@@ -183,7 +183,7 @@
   const int descriptor =
       ::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC, OwnerOnly);
   if (descriptor < 0)
-    return failure("cannot make a log file");
+    return failure("cannot create a log file");
   if (!writeAll(descriptor, bytes, 0) || ::fsync(descriptor) != 0) {
     auto status = failure("cannot write a log file");
     ::close(descriptor);
--- a/src/consensus/tests/ConsensusScheduleTest.cpp
+++ b/src/consensus/tests/ConsensusScheduleTest.cpp
@@ -85,7 +85,8 @@
   const auto before = group.committed();
   group.propose();
   group.run(milliseconds(500));
-  CHECK_MESSAGE(group.committed() > before, "nothing commits any more");
+  CHECK_MESSAGE(group.committed() > before,
+                "no entry commits after the recovery");
 }
 
 /// Limits the bandwidth of half of the links; small messages bypass them.
@@ -174,7 +175,7 @@
       runSchedule(seed, it, 0, timing);
 }
 
-TEST_CASE("Consensus_LargeEntriesThatAreOvertakenLoseNothing") {
+TEST_CASE("Consensus_OvertakenLargeEntriesLoseNothing") {
   const Shape shapes[] = {{3, 3, 3, 1}, {4, 3, 3, 1}, {6, 3, 5, 2}};
   constexpr std::size_t MaxBytes = 40 << 10;
   const std::uint64_t first = numberFrom("STEPLEDGE_FIRST_SEED", 1);
@@ -224,7 +225,7 @@
   CHECK(group.violation() == "");
 }
 
-TEST_CASE("Consensus_GroupLeadsSoonAfterALossOfPower") {
+TEST_CASE("Consensus_GroupElectsALeaderSoonAfterPowerLoss") {
   int leaderCount = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed)
     leaderCount += electsLeaderAfterPowerLoss(seed, {}, milliseconds(300));
@@ -232,7 +233,7 @@
   CHECK(leaderCount >= 34);
 }
 
-TEST_CASE("Consensus_TrialThatReachedNobodyIsRepeatedSoon") {
+TEST_CASE("Consensus_PreVoteThatReachedNoVoterIsRetriedSoon") {
   int leaderCount = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed)
     leaderCount +=
--- a/src/consensus/tests/LogStoreTest.cpp
+++ b/src/consensus/tests/LogStoreTest.cpp
@@ -95,7 +95,7 @@
            (fs::perms::group_all | fs::perms::others_all)) == fs::perms::none);
 }
 
-TEST_CASE("LogStore_WhatWasAppendedIsThere") {
+TEST_CASE("LogStore_KeepsAppendedRecords") {
   const TemporaryFolder folder;
   {
     LogStore store(folder.Path);
@@ -124,7 +124,7 @@
   CHECK(log.State.Entries[1].term() == 2);
 }
 
-TEST_CASE("LogStore_TornEndIsCutAtEveryByte") {
+TEST_CASE("LogStore_TornEndIsTruncatedAtEveryByte") {
   const TemporaryFolder folder;
   {
     LogStore store(folder.Path);
@@ -169,7 +169,7 @@
   CHECK(loadFrom(folder.Path).State.Entries.empty());
 }
 
-TEST_CASE("LogStore_FileThatIsNotWholeIsPassedOver") {
+TEST_CASE("LogStore_IncompleteFileIsIgnored") {
   const TemporaryFolder folder;
   {
     LogStore store(folder.Path);
@@ -201,7 +201,7 @@
   CHECK(loadFrom(folder.Path).State.Snapshot.index() == 4);
 }
 
-TEST_CASE("LogStore_DamagedBytesNeverMakeAnEntry") {
+TEST_CASE("LogStore_DamagedBytesNeverYieldAnEntry") {
   const TemporaryFolder folder;
   {
     LogStore store(folder.Path);
@@ -229,7 +229,7 @@
   }
 }
 
-TEST_CASE("LogStore_MutatedFilesGiveNothingThatWasNotWritten") {
+TEST_CASE("LogStore_MutatedFilesYieldNoUnwrittenRecords") {
   std::mt19937_64 random(5);
   for (int i = 0; i < 400; ++i) {
     const TemporaryFolder folder;
--- a/src/consensus/tests/RejoinTest.cpp
+++ b/src/consensus/tests/RejoinTest.cpp
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("Consensus_VoterThatWasReplacedOutOfReachIsASpareAfterwards") {
+TEST_CASE("Consensus_VoterReplacedWhileUnreachableRejoinsAsSpare") {
   // A voter that had been isolated for six seconds, and replaced by a spare
   // meanwhile, never received an entry again, even after a restart: its own log
   // still listed it as a voter, so it didn't ask to join, and its pre-votes
--- a/src/consensus/tests/ResendTest.cpp
+++ b/src/consensus/tests/ResendTest.cpp
@@ -60,7 +60,7 @@
   CHECK(bytesOfThreeEntries(true) < 3 * EntryBytes + SmallMessageBytes);
 }
 
-TEST_CASE("Resend_MemberThatGetsALargeStateHearsItsLeader") {
+TEST_CASE("Resend_MemberReceivesHeartbeatsDuringALargeSnapshot") {
   SimulatedGroup group(3, 3, 3, 6);
   const auto [leader, follower] = awaitLeader(group);
   group.kill(follower);
@@ -82,7 +82,7 @@
   CHECK(group.violation() == "");
 }
 
-TEST_CASE("Resend_MemberThatDoesNotAnswerIsRepeatedToLaterAndLater") {
+TEST_CASE("Resend_IntervalGrowsForASilentMember") {
   SimulatedGroup group(3, 3, 3, 7);
   const auto [leader, follower] = awaitLeader(group);
   group.blockLink(leader, follower);
@@ -102,7 +102,7 @@
   CHECK(group.violation() == "");
 }
 
-TEST_CASE("Resend_LostConnectionBringsARepeatAtOnce") {
+TEST_CASE("Resend_LostConnectionCausesAnImmediateResend") {
   SimulatedGroup group(3, 3, 3, 8);
   const auto [leader, follower] = awaitLeader(group);
   group.limitBandwidth(leader, follower, NarrowRate, true);
@@ -124,7 +124,7 @@
   CHECK(group.violation() == "");
 }
 
-TEST_CASE("Resend_MemberThatAnswersBeginsWithTheFirstIntervalAgain") {
+TEST_CASE("Resend_ReplyResetsTheInterval") {
   SimulatedGroup group(3, 3, 3, 9);
   const LeaderLink link = awaitLeader(group);
   const auto copiesIn = [&](Duration time) {
--- a/src/consensus/tests/RestartTest.cpp
+++ b/src/consensus/tests/RestartTest.cpp
@@ -125,9 +125,9 @@
   const auto leader = percentilesOf(toLeader);
   const auto fresh = percentilesOf(toFresh);
   MESSAGE("members ", size, ": leads after ", leader.Median,
-          " ms (95 %: ", leader.P95, ", most ", leader.Max,
+          " ms (95 %: ", leader.P95, ", max ", leader.Max,
           "), a majority is fresh after ", fresh.Median,
-          " ms (95 %: ", fresh.P95, ", most ", fresh.Max, ")");
+          " ms (95 %: ", fresh.P95, ", max ", fresh.Max, ")");
   CHECK(leader.Median < toMilliseconds(MaxLeaderWait) / 2);
   CHECK(leader.P95 <= toMilliseconds(MaxLeaderWait));
   CHECK(fresh.P95 <= toMilliseconds(MaxLeaderWait));
@@ -136,12 +136,12 @@
 
 } // namespace
 
-TEST_CASE("Return_GroupLeadsOnceAMajorityRuns") {
+TEST_CASE("Restart_GroupElectsALeaderOnceAMajorityRuns") {
   for (const std::size_t size : {3, 5})
     checkRecovery(size, 250, [](auto &, auto &) {});
 }
 
-TEST_CASE("Return_MembersThatStartTogetherDoNotCollide") {
+TEST_CASE("Restart_MembersThatStartTogetherDoNotCollide") {
   for (const std::size_t size : {3, 5})
     checkRecovery(size, 250, [](auto &, auto &starts) {
       for (auto &it : starts)
@@ -149,14 +149,14 @@
     });
 }
 
-TEST_CASE("Return_OneMemberComesMuchLater") {
+TEST_CASE("Restart_OneMemberStartsMuchLater") {
   for (const std::size_t size : {3, 5})
     checkRecovery(size, 100, [](auto &group, auto &starts) {
       starts[group.pick(starts.size())] = 2500;
     });
 }
 
-TEST_CASE("Return_OneMemberWasWiped") {
+TEST_CASE("Restart_OneMemberWasWiped") {
   // It gets a new number and is no voter before the group has a leader, so only
   // the other members can vote.
   for (const std::size_t size : {3, 5})
@@ -168,7 +168,7 @@
     });
 }
 
-TEST_CASE("Return_OneLinkIsDown") {
+TEST_CASE("Restart_OneLinkIsDown") {
   for (const std::size_t size : {3, 5})
     checkRecovery(size, 200, [](auto &group, auto &starts) {
       const auto one = group.pick(starts.size());
@@ -182,7 +182,7 @@
     });
 }
 
-TEST_CASE("Return_OneMemberReachesNobody") {
+TEST_CASE("Restart_OneMemberIsIsolated") {
   for (const std::size_t size : {3, 5})
     checkRecovery(size, 100, [](auto &group, auto &starts) {
       const auto one = group.pick(starts.size());
@@ -196,7 +196,7 @@
     });
 }
 
-TEST_CASE("Return_OneMemberIsNotHeard") {
+TEST_CASE("Restart_MessagesFromOneMemberAreLost") {
   // The other members defer to it, since it receives their messages, but they
   // never receive its messages.
   for (const std::size_t size : {3, 5})
@@ -209,7 +209,7 @@
     });
 }
 
-TEST_CASE("Return_OneMemberHearsNobody") {
+TEST_CASE("Restart_MessagesToOneMemberAreLost") {
   for (const std::size_t size : {3, 5})
     checkRecovery(size, 200, [](auto &group, auto &starts) {
       const auto one = group.pick(starts.size());
@@ -220,7 +220,7 @@
     });
 }
 
-TEST_CASE("Return_SlowDisksAndFarHallsStillElect") {
+TEST_CASE("Restart_SlowDisksAndFarHallsStillElect") {
   // Ten times slower than one region: a vote takes longer than the first pause
   // between elections, and still counts.
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
--- a/src/consensus/tests/SimulatedGroup.cpp
+++ b/src/consensus/tests/SimulatedGroup.cpp
@@ -212,7 +212,7 @@
     const auto number = it.Node->self().number();
     if (LeaderOfTerm.try_emplace(it.Node->term(), number).first->second !=
         number)
-      Violation = "two members lead in term " + std::to_string(it.Node->term());
+      Violation = "two leaders in term " + std::to_string(it.Node->term());
   }
 }
 
@@ -230,7 +230,7 @@
                it.voted_for() == message.to();
       });
   if (!isSynced)
-    Violation = "a vote is told before it is on disk";
+    Violation = "a vote was sent before it was on disk";
 }
 
 std::size_t SimulatedGroup::freshCount() const {
@@ -310,13 +310,13 @@
       it.AppliedIndex = effects.Restored->index();
       const auto &state = effects.Restored->state();
       if (!state.starts_with(std::to_string(it.AppliedIndex) + ' '))
-        Violation = "a snapshot holds another state than its index says";
+        Violation = "a snapshot's state does not match its index";
     }
     for (const auto &entry : effects.Committed)
       apply(member, entry);
     for (const auto token : effects.ConfirmedReads)
       if (it.AppliedIndex < Reads[token].MinIndex)
-        Violation = "a read misses an entry that was committed before it";
+        Violation = "a read misses an entry that was committed before the read";
     if (it.Node->wantsSnapshot() && it.AppliedIndex > 0)
       it.Node->takeSnapshot(it.AppliedIndex, stateAt(it.AppliedIndex));
     else if (effects.Ticket == 0 && effects.Messages.empty())
@@ -376,7 +376,7 @@
 void SimulatedGroup::apply(std::size_t member, const wire::Entry &entry) {
   auto &it = Members[member];
   if (entry.index() != it.AppliedIndex + 1)
-    Violation = "entries are applied out of turn";
+    Violation = "entries were applied out of order";
   it.AppliedIndex = entry.index();
   const auto [known, isNew] =
       Committed.try_emplace(entry.index(), entry.command());
--- a/src/distribution/tests/ConfigurationChangeTest.cpp
+++ b/src/distribution/tests/ConfigurationChangeTest.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("ConfigurationChange_LeadsFromOneToTheOther") {
+TEST_CASE("ConfigurationChange_JoinedDeltasYieldTheTarget") {
   std::mt19937_64 random(7);
   for (std::uint64_t i = 1; i <= 300; ++i) {
     const auto from = randomConfiguration(3 * i, random);
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_CASE("ConfigurationChange_FitsOnlyWhatItStartsFrom") {
+TEST_CASE("ConfigurationChange_AppliesOnlyToItsStartVersion") {
   auto held = routes(3, 10);
   const auto delta = changeBetween(routes(4, 10), routes(5, 12));
   CHECK(!applyChange(held, delta));
@@ -94,13 +94,13 @@
   CHECK(!applyChange(other, changeBetween(routes(4, 11), routes(5, 12))));
 }
 
-TEST_CASE("ConfigurationChange_WholeReplacesAnything") {
+TEST_CASE("ConfigurationChange_FullOneReplacesAnyConfiguration") {
   auto held = routes(3, 10);
   CHECK(applyChange(held, changeBetween({}, routes(9, 4))));
   CHECK(isEqual(held, routes(9, 4)));
 }
 
-TEST_CASE("ConfigurationChange_OtherBytesAreNoChange") {
+TEST_CASE("ConfigurationChange_InvalidBytesAreRefused") {
   CHECK(!decodeDelta("no change"));
 }
 
--- a/src/distribution/tests/ConfigurationHistoryTest.cpp
+++ b/src/distribution/tests/ConfigurationHistoryTest.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("ConfigurationHistory_JoinsTheChangesSinceAVersion") {
+TEST_CASE("ConfigurationHistory_JoinsTheDeltasSinceAVersion") {
   ConfigurationHistory history;
   history.take(routes(3, 100));
   history.take(routes(5, 100, 810));
@@ -43,7 +43,7 @@
   CHECK(deltaFrom(history, 5).From == 5);
 }
 
-TEST_CASE("ConfigurationHistory_UnknownVersionGetsTheWhole") {
+TEST_CASE("ConfigurationHistory_UnknownVersionGetsTheFullConfiguration") {
   ConfigurationHistory history;
   history.take(routes(3, 100));
   history.take(routes(5, 100, 810));
@@ -54,7 +54,7 @@
   }
 }
 
-TEST_CASE("ConfigurationHistory_AllUnknownVersionsShareOneWhole") {
+TEST_CASE("ConfigurationHistory_AllUnknownVersionsShareOneEncoding") {
   ConfigurationHistory history;
   history.take(routes(300, 100));
   const auto full = history.deltaFrom(0);
@@ -62,7 +62,7 @@
     CHECK(history.deltaFrom(version) == full);
 }
 
-TEST_CASE("ConfigurationHistory_KeepsNoMoreThanTheWholeWouldTake") {
+TEST_CASE("ConfigurationHistory_KeepsNoMoreRoutesThanTheFullConfiguration") {
   ConfigurationHistory history;
   history.take(routes(1, 100));
   // Each configuration removes or adds all routes outside the shared ones.
@@ -72,7 +72,7 @@
   CHECK(deltaFrom(history, 2).From == 2);
 }
 
-TEST_CASE("ConfigurationHistory_ForgetsTheOldestChanges") {
+TEST_CASE("ConfigurationHistory_DropsTheOldestDeltas") {
   ConfigurationHistory history;
   for (std::uint64_t version = 1; version <= 100; ++version)
     history.take(routes(version, 200, static_cast<int>(version)));
--- a/src/distribution/tests/ConfigurationTransferTest.cpp
+++ b/src/distribution/tests/ConfigurationTransferTest.cpp
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("ConfigurationTransfer_OnePartIsOnItsWayAtATime") {
+TEST_CASE("ConfigurationTransfer_OnePartIsInFlightAtATime") {
   Fixture it;
   REQUIRE(it.Fetch.start(it.Now, SenderIp, 0));
   int parts = 1;
@@ -75,7 +75,7 @@
   CHECK(it.Fetch.change().Routes.size() == 2000);
 }
 
-TEST_CASE("ConfigurationTransfer_WhatIsOnItsWayIsNotAskedForAgain") {
+TEST_CASE("ConfigurationTransfer_PartInFlightIsNotRequestedAgain") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   for (int i = 0; i < 9; ++i) {
@@ -85,7 +85,7 @@
   CHECK(it.Out.Sent.size() == 1);
 }
 
-TEST_CASE("ConfigurationTransfer_SilentControlVmIsGivenUp") {
+TEST_CASE("ConfigurationTransfer_SilentControlVmIsAbandoned") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   it.Now += milliseconds(1001);
@@ -100,8 +100,7 @@
   CHECK(it.Fetch.start(it.Now, SenderIp, 0));
 }
 
-TEST_CASE(
-    "ConfigurationTransfer_SilentControlVmIsAskedAgainOnlyWhereNoOtherIs") {
+TEST_CASE("ConfigurationTransfer_SilentControlVmIsRetriedLaterThanAnotherOne") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   it.Now += milliseconds(1500);
@@ -110,7 +109,7 @@
   CHECK(it.Fetch.start(it.Now, SenderIp, 0));
 }
 
-TEST_CASE("ConfigurationTransfer_SlowControlVmIsLeft") {
+TEST_CASE("ConfigurationTransfer_SlowControlVmIsAbandoned") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   Duration took{};
@@ -124,7 +123,7 @@
   CHECK(it.Out.Sent.back().first == OtherIp);
 }
 
-TEST_CASE("ConfigurationTransfer_ChangesThatDoNotFitComeRarely") {
+TEST_CASE("ConfigurationTransfer_RejectedDeltasBackOff") {
   Fixture it;
   int fetches = 0;
   for (int i = 0; i < 400; ++i) {
@@ -151,7 +150,7 @@
   CHECK(it.Fetch.start(it.Now, OtherIp, 0));
 }
 
-TEST_CASE("ConfigurationTransfer_NewerConfigurationLetsTheOldOneThrough") {
+TEST_CASE("ConfigurationTransfer_NewerConfigurationDoesNotAbortTheTransfer") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   CHECK(it.exchange() == PartResult::Taken);
@@ -165,7 +164,7 @@
   CHECK(it.Fetch.change().To == 6);
 }
 
-TEST_CASE("ConfigurationTransfer_NothingGoesToOneWhoHoldsTheNewest") {
+TEST_CASE("ConfigurationTransfer_NothingIsSentForTheNewestVersion") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 4);
   CHECK(!it.Sender.answer(ReceiverIp, it.Out.Sent.front().second));
