--- a/src/consensus/ConsensusNode.cpp
+++ b/src/consensus/ConsensusNode.cpp
@@ -21,7 +21,7 @@
   if (Base.index() > 0)
     Pending.Restored = Base;
   recomputeVoters();
-  resetTrialTimer(now);
+  resetPreVoteTimer(now);
 }
 
 bool ConsensusNode::isVoter(MemberNumber number) const {
@@ -88,13 +88,14 @@
   ElectionAt = now + least + Duration(extra(Random));
 }
 
-void ConsensusNode::resetTrialTimer(TimePoint now) {
-  // NOTE: after a start nobody is known to lead, and a trial vote disturbs no
-  // leader, so trials come early until the first word of one.
+void ConsensusNode::resetPreVoteTimer(TimePoint now) {
+  // NOTE: after a start no leader is known, and a pre-vote doesn't disturb one,
+  // so pre-votes come early until the first message of a leader.
   if (LeaderContact > TimePoint{})
     return resetElectionTimer(now);
   std::uniform_int_distribution<std::int64_t> pause(
-      Options.LeastFirstTrial.count(), Options.MostFirstTrial.count());
+      Options.MinStartupPreVotePause.count(),
+      Options.MaxStartupPreVotePause.count());
   ElectionAt = now + Duration(pause(Random));
 }
 
@@ -109,7 +110,7 @@
     return;
   }
   if (now >= ElectionAt && isVoter())
-    startTrial(now);
+    startPreVote(now);
 }
 
 void ConsensusNode::receive(TimePoint now, const wire::Message &message) {
@@ -122,22 +123,23 @@
   }
   if (message.to() != Self.number())
     return;
-  // NOTE: a trial's term is none that anybody is in yet, but a refusal of one
-  // carries its sender's own, which may be the newer one.
-  const bool isTrial =
+  // NOTE: a pre-vote's term is one that no member has entered, but a refused
+  // pre-vote has its sender's own term, which may be newer.
+  const bool isPreVote =
       (message.has_vote_request() && message.vote_request().is_trial()) ||
       (message.has_vote_reply() && message.vote_reply().is_trial() &&
        message.vote_reply().granted());
   const bool hasLeader =
       (isLeader() || Leader) && now - LeaderContact < Options.ElectionTimeout;
-  // NOTE: a member that hears its leader lets nobody depose it.
+  // NOTE: a member with a recent message of its leader helps no other member to
+  // depose it.
   if (message.has_vote_request() && hasLeader)
     return;
-  // NOTE: whoever has its vote may lead in a moment.
-  if (message.has_vote_request() && isTrial && now < VoteHoldsUntil)
+  // NOTE: the member that got its vote may become leader in a moment.
+  if (message.has_vote_request() && isPreVote && now < VoteProtectedUntil)
     return;
-  const bool isBehind = message.term() > Term && !isTrial;
-  if (isBehind)
+  const bool hasNewerTerm = message.term() > Term && !isPreVote;
+  if (hasNewerTerm)
     becomeFollower(now, message.term());
   if (message.has_vote_request())
     onVoteRequest(now, message);
@@ -149,9 +151,10 @@
     onAppendReply(now, message);
   else if (message.has_snapshot_request())
     onSnapshotRequest(now, message);
-  // NOTE: it was refused for its term only, which it knows now.
-  if (isBehind && message.has_vote_reply() && mayStandNow(now))
-    startTrial(now);
+  // NOTE: the pre-vote was refused only for its old term, which is up to date
+  // now.
+  if (hasNewerTerm && message.has_vote_reply() && canStartPreVote(now))
+    startPreVote(now);
 }
 
 void ConsensusNode::becomeFollower(TimePoint now, std::uint64_t term) {
@@ -170,8 +173,8 @@
 
 void ConsensusNode::becomeLeader(TimePoint now) {
   Role = MemberRole::Leader;
-  // NOTE: a late vote doesn't bring a lost lead back.
-  StoodIn = 0;
+  // NOTE: a late vote doesn't restore a lost leadership.
+  CandidateTerm = 0;
   Leader.reset();
   LeaderContact = now;
   HeartbeatAt = now;
@@ -182,7 +185,7 @@
     auto &progress = Others[it.number()];
     progress.Member = it;
     progress.Next = lastIndex() + 1;
-    progress.HeardAt = now;
+    progress.LastReplyAt = now;
   }
   wire::Entry first;
   append(std::move(first));
@@ -271,7 +274,8 @@
     return send(ip, to, std::move(message));
   message.set_from(Self.number());
   message.set_to(to);
-  HeldMessages.emplace_back(needed, OutgoingMessage{ip, std::move(message)});
+  MessagesAwaitingSync.emplace_back(needed,
+                                    OutgoingMessage{ip, std::move(message)});
 }
 
 Effects ConsensusNode::takeEffects() {
@@ -292,12 +296,13 @@
     if (termAt(point.Index) == point.Term && point.Index >= Base.index())
       DurableIndex = std::max(DurableIndex, point.Index);
   }
-  while (!HeldMessages.empty() && HeldMessages.front().first <= ticket) {
-    auto held = std::move(HeldMessages.front().second);
-    HeldMessages.pop_front();
-    // NOTE: a vote of an earlier term is no longer this member's word.
-    if (held.Message.term() >= Term)
-      Pending.Messages.push_back(std::move(held));
+  while (!MessagesAwaitingSync.empty() &&
+         MessagesAwaitingSync.front().first <= ticket) {
+    auto heldMessage = std::move(MessagesAwaitingSync.front().second);
+    MessagesAwaitingSync.pop_front();
+    // NOTE: a vote of an earlier term is no longer valid.
+    if (heldMessage.Message.term() >= Term)
+      Pending.Messages.push_back(std::move(heldMessage));
   }
   if (isLeader()) {
     advanceCommit(now);
@@ -342,8 +347,8 @@
 void ConsensusNode::takeSnapshot(std::uint64_t index, std::string state) {
   if (index <= Base.index() || index > Commit)
     return;
-  // NOTE: the state covers all up to its index, so nothing below is kept; a
-  // member that is behind it gets the state.
+  // NOTE: the state covers all entries up to its index, so none of them is
+  // kept; a member that lacks some of them receives the state.
   const std::uint64_t term = termAt(index);
   wire::Membership voters = Base.membership();
   while (!Log.empty() && Log.front().index() <= index) {
--- a/src/consensus/tests/ConsensusScheduleTest.cpp
+++ b/src/consensus/tests/ConsensusScheduleTest.cpp
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Seeded schedules of kills, cuts, wiped and stalled disks: no entry is
-/// lost or doubled, no read is stale, and the group comes back.
+/// \file Seeded schedules of kills, network partitions, wiped and stalled
+/// disks: no entry is lost or applied twice, no read is stale, and the group
+/// recovers.
 
 #include "consensus/tests/SimulatedGroup.h"
 
@@ -17,25 +18,26 @@
 
 namespace {
 
-/// As the narrowest link that a VM was seen with.
+/// Bytes per second of the narrowest links between VMs.
 constexpr double NarrowRate = 250e3;
 
-/// More with STEPLEDGE_SEEDS=N, from STEPLEDGE_FIRST_SEED on.
-std::uint64_t numberFrom(const char *variable, std::uint64_t otherwise) {
+/// Returns the value of the environment \p variable: STEPLEDGE_SEEDS is the
+/// number of seeds, STEPLEDGE_FIRST_SEED the first one.
+std::uint64_t numberFrom(const char *variable, std::uint64_t fallback) {
   const char *text = std::getenv(variable);
-  return text ? std::strtoull(text, nullptr, 10) : otherwise;
+  return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
 struct Shape {
   std::size_t Members;
   std::size_t Bootstrapped;
   int Target;
-  /// Disks that may be lost at once.
-  std::size_t Losses;
+  /// Number of disks that may be lost at once.
+  std::size_t MaxLosses;
 };
 
-/// One random fault, or a pause.
-void disturb(SimulatedGroup &group, const Shape &shape) {
+/// Injects or repairs one random fault.
+void injectFault(SimulatedGroup &group, const Shape &shape) {
   const std::size_t member = group.pick(group.size());
   const std::size_t other = group.pick(group.size());
   std::size_t down = 0;
@@ -43,15 +45,15 @@
     down += !group.isRunning(i);
   switch (group.pick(9)) {
   case 0:
-    if (down < shape.Losses)
+    if (down < shape.MaxLosses)
       group.kill(member);
     break;
   case 1:
-    group.cut(member, other);
+    group.blockLink(member, other);
     break;
   case 2:
-    group.cut(member, other);
-    group.cut(other, member);
+    group.blockLink(member, other);
+    group.blockLink(other, member);
     break;
   case 3:
     group.heal();
@@ -72,8 +74,9 @@
   }
 }
 
-/// Everything runs and is connected again: a new entry commits in time.
-void settle(SimulatedGroup &group, Duration limit) {
+/// Starts and connects all members, and checks that a new entry commits in
+/// time.
+void recoverAndCheck(SimulatedGroup &group, Duration limit) {
   group.heal();
   group.setLoss(0.0);
   for (std::size_t i = 0; i < group.size(); ++i)
@@ -82,53 +85,56 @@
   const auto before = group.committed();
   group.propose();
   group.run(milliseconds(500));
-  CHECK_MESSAGE(group.committed() > before, "nothing commits any more");
+  CHECK_MESSAGE(group.committed() > before,
+                "no entry commits after the recovery");
 }
 
-/// Half of all ways get narrow, and let small messages by.
-void narrowSomeWays(SimulatedGroup &group) {
+/// Limits the bandwidth of half of the links; small messages bypass them.
+void limitSomeLinks(SimulatedGroup &group) {
   for (std::size_t from = 0; from < group.size(); ++from)
     for (std::size_t to = 0; to < group.size(); ++to)
       if (group.pick(2) == 0)
-        group.narrow(from, to, NarrowRate, true);
+        group.limitBandwidth(from, to, NarrowRate, true);
 }
 
-/// Entries hold up to \p mostBytes, snapshots as many; large ones are late on
-/// narrow ways.
-void playSeed(std::uint64_t seed, const Shape &shape, std::size_t mostBytes = 0,
-              const SimulatedTiming &timing = {}) {
+/// Runs one seeded schedule. Entries and snapshots have up to \p maxBytes;
+/// large ones are delayed on narrow links.
+void runSchedule(std::uint64_t seed, const Shape &shape,
+                 std::size_t maxBytes = 0, const SimulatedTiming &timing = {}) {
   CAPTURE(seed);
   CAPTURE(shape.Members);
   SimulatedGroup group(shape.Members, shape.Bootstrapped, shape.Target, seed,
                        timing);
-  if (mostBytes > 0) {
-    narrowSomeWays(group);
-    group.setStateBytes(mostBytes);
+  if (maxBytes > 0) {
+    limitSomeLinks(group);
+    group.setStateBytes(maxBytes);
   }
   group.run(milliseconds(2500));
   for (int round = 0; round < 25; ++round) {
-    disturb(group, shape);
+    injectFault(group, shape);
     for (int i = 0; i < 3; ++i) {
-      group.propose(mostBytes > 0 ? group.pick(mostBytes) : 0);
+      group.propose(maxBytes > 0 ? group.pick(maxBytes) : 0);
       group.read();
       group.run(milliseconds(150));
     }
-    // A disk is lost while all others are well, as the group promises to bear.
+    // A disk is lost while all other members are healthy, which the group must
+    // survive.
     if (round % 8 == 7) {
-      settle(group, milliseconds(6000));
+      recoverAndCheck(group, milliseconds(6000));
       group.wipe(group.pick(group.size()));
       group.run(milliseconds(300));
-      settle(group, milliseconds(6000));
+      recoverAndCheck(group, milliseconds(6000));
     }
   }
-  settle(group, milliseconds(5000));
-  CHECK(group.fault() == "");
+  recoverAndCheck(group, milliseconds(5000));
+  CHECK(group.violation() == "");
 }
 
-/// All members lose power and come back after a second. Nobody reaches another
-/// before \p unreachable has passed; the group then has \p time for a leader.
-bool leadsAfterPowerLoss(std::uint64_t seed, Duration unreachable,
-                         Duration time) {
+/// All members lose power and restart after a second. No member reaches another
+/// one before \p unreachable has passed; then the group has \p time to elect a
+/// leader.
+bool electsLeaderAfterPowerLoss(std::uint64_t seed, Duration unreachable,
+                                Duration time) {
   SimulatedGroup group(3, 3, 3, seed);
   group.run(milliseconds(2500));
   group.propose();
@@ -137,13 +143,13 @@
     group.kill(i);
   group.run(milliseconds(1000));
   for (std::size_t i = 0; i < 9; ++i)
-    group.cut(i / 3, i % 3);
+    group.blockLink(i / 3, i % 3);
   for (std::size_t i = 0; i < 3; ++i)
     group.start(i);
   group.run(unreachable);
   group.heal();
   group.run(time);
-  CHECK(group.fault() == "");
+  CHECK(group.violation() == "");
   return group.leader().has_value();
 }
 
@@ -155,7 +161,7 @@
   const std::uint64_t count = numberFrom("STEPLEDGE_SEEDS", 60);
   for (std::uint64_t seed = first; seed < first + count; ++seed)
     for (const auto &it : shapes)
-      playSeed(seed, it);
+      runSchedule(seed, it);
 }
 
 TEST_CASE("Consensus_SchedulesWithConnectionsLoseNothing") {
@@ -166,23 +172,24 @@
   const std::uint64_t count = numberFrom("STEPLEDGE_SEEDS", 60);
   for (std::uint64_t seed = first; seed < first + count; ++seed)
     for (const auto &it : shapes)
-      playSeed(seed, it, 0, timing);
+      runSchedule(seed, it, 0, timing);
 }
 
-TEST_CASE("Consensus_LargeEntriesThatAreOvertakenLoseNothing") {
+TEST_CASE("Consensus_OvertakenLargeEntriesLoseNothing") {
   const Shape shapes[] = {{3, 3, 3, 1}, {4, 3, 3, 1}, {6, 3, 5, 2}};
-  constexpr std::size_t MostBytes = 40 << 10;
+  constexpr std::size_t MaxBytes = 40 << 10;
   const std::uint64_t first = numberFrom("STEPLEDGE_FIRST_SEED", 1);
   const std::uint64_t count = numberFrom("STEPLEDGE_SEEDS", 20);
   for (std::uint64_t seed = first; seed < first + count; ++seed)
     for (const auto &it : shapes)
-      playSeed(seed, it, MostBytes);
+      runSchedule(seed, it, MaxBytes);
 }
 
 TEST_CASE("Consensus_SeedsThatFailed") {
-  // 2214: the member with the newer term had the shorter log; neither could
-  // win a trial, since a refused one didn't tell the newer term.
-  playSeed(2214, {3, 3, 3, 1});
+  // 2214: the member with the newer term had the shorter log; neither member
+  // could win a pre-vote, since a refused pre-vote didn't report the newer
+  // term.
+  runSchedule(2214, {3, 3, 3, 1});
 }
 
 TEST_CASE("Consensus_WipedMemberIsReplacedByItself") {
@@ -214,22 +221,23 @@
   group.run(milliseconds(5000));
   for (std::size_t i = 0; i < 3; ++i)
     group.kill(i);
-  settle(group, milliseconds(4000));
-  CHECK(group.fault() == "");
+  recoverAndCheck(group, milliseconds(4000));
+  CHECK(group.violation() == "");
 }
 
-TEST_CASE("Consensus_GroupLeadsSoonAfterALossOfPower") {
-  int led = 0;
+TEST_CASE("Consensus_GroupElectsALeaderSoonAfterPowerLoss") {
+  int leaderCount = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed)
-    led += leadsAfterPowerLoss(seed, {}, milliseconds(300));
-  INFO("of 40: ", led);
-  CHECK(led >= 34);
+    leaderCount += electsLeaderAfterPowerLoss(seed, {}, milliseconds(300));
+  INFO("of 40: ", leaderCount);
+  CHECK(leaderCount >= 34);
 }
 
-TEST_CASE("Consensus_TrialThatReachedNobodyIsRepeatedSoon") {
-  int led = 0;
+TEST_CASE("Consensus_PreVoteThatReachedNoVoterIsRetriedSoon") {
+  int leaderCount = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed)
-    led += leadsAfterPowerLoss(seed, milliseconds(250), milliseconds(300));
-  INFO("of 40: ", led);
-  CHECK(led >= 34);
+    leaderCount +=
+        electsLeaderAfterPowerLoss(seed, milliseconds(250), milliseconds(300));
+  INFO("of 40: ", leaderCount);
+  CHECK(leaderCount >= 34);
 }
--- a/src/consensus/tests/LogStoreTest.cpp
+++ b/src/consensus/tests/LogStoreTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The log file after losses of power: what was synced is there, a torn
-/// end is cut off, and a file whose writing was cut off isn't taken.
+/// \file The log file after power losses: synced records are kept, a torn end
+/// is truncated, and an incomplete file is ignored.
 
 #include "consensus/LogStore.h"
 
@@ -19,7 +19,7 @@
 
 namespace fs = std::filesystem;
 
-/// A folder that goes with the test.
+/// A folder that is removed with this object.
 class TemporaryFolder {
 public:
   TemporaryFolder() {
@@ -95,7 +95,7 @@
            (fs::perms::group_all | fs::perms::others_all)) == fs::perms::none);
 }
 
-TEST_CASE("LogStore_WhatWasAppendedIsThere") {
+TEST_CASE("LogStore_KeepsAppendedRecords") {
   const TemporaryFolder folder;
   {
     LogStore store(folder.Path);
@@ -124,7 +124,7 @@
   CHECK(log.State.Entries[1].term() == 2);
 }
 
-TEST_CASE("LogStore_TornEndIsCutAtEveryByte") {
+TEST_CASE("LogStore_TornEndIsTruncatedAtEveryByte") {
   const TemporaryFolder folder;
   {
     LogStore store(folder.Path);
@@ -139,9 +139,9 @@
     REQUIRE(store.load().ok());
     REQUIRE(store.append({entryAt(5)}).ok());
   }
-  const std::string whole = bytesOf(file);
-  for (std::size_t n = synced.size(); n < whole.size(); ++n) {
-    writeBytes(file, whole.substr(0, n));
+  const std::string complete = bytesOf(file);
+  for (std::size_t n = synced.size(); n < complete.size(); ++n) {
+    writeBytes(file, complete.substr(0, n));
     const auto log = loadFrom(folder.Path);
     CHECK(log.State.Entries.size() == 1);
     CHECK(bytesOf(file).size() == synced.size());
@@ -151,25 +151,25 @@
 TEST_CASE("LogStore_MissingWriteHidesTheLaterOnes") {
   const TemporaryFolder folder;
   std::size_t before = 0;
-  std::size_t behind = 0;
+  std::size_t after = 0;
   {
     LogStore store(folder.Path);
     REQUIRE(store.load().ok());
     REQUIRE(store.rewrite(beginning(7)).ok());
     before = bytesOf(newestFile(folder.Path)).size();
     REQUIRE(store.append({entryAt(4)}).ok());
-    behind = bytesOf(newestFile(folder.Path)).size();
+    after = bytesOf(newestFile(folder.Path)).size();
     REQUIRE(store.append({entryAt(5)}).ok());
   }
   const fs::path file = newestFile(folder.Path);
   std::string bytes = bytesOf(file);
   std::fill(bytes.begin() + static_cast<std::ptrdiff_t>(before),
-            bytes.begin() + static_cast<std::ptrdiff_t>(behind), '\0');
+            bytes.begin() + static_cast<std::ptrdiff_t>(after), '\0');
   writeBytes(file, bytes);
   CHECK(loadFrom(folder.Path).State.Entries.empty());
 }
 
-TEST_CASE("LogStore_FileThatIsNotWholeIsPassedOver") {
+TEST_CASE("LogStore_IncompleteFileIsIgnored") {
   const TemporaryFolder folder;
   {
     LogStore store(folder.Path);
@@ -186,21 +186,22 @@
     records[1].mutable_snapshot()->set_index(4);
     REQUIRE(store.rewrite(records).ok());
   }
-  // Power was lost before the new file was whole: the old one is still there.
+  // Power was lost before the new file was complete; the old one is still
+  // there.
   const fs::path file = newestFile(folder.Path);
-  const std::string whole = bytesOf(file);
+  const std::string complete = bytesOf(file);
   writeBytes(old, kept);
-  for (std::size_t n = 0; n < whole.size(); n += 3) {
-    writeBytes(file, whole.substr(0, n));
+  for (std::size_t n = 0; n < complete.size(); n += 3) {
+    writeBytes(file, complete.substr(0, n));
     const auto log = loadFrom(folder.Path);
     CHECK(log.State.Entries.size() == 1);
     CHECK(log.State.Snapshot.index() == 3);
   }
-  writeBytes(file, whole);
+  writeBytes(file, complete);
   CHECK(loadFrom(folder.Path).State.Snapshot.index() == 4);
 }
 
-TEST_CASE("LogStore_DamagedBytesNeverMakeAnEntry") {
+TEST_CASE("LogStore_DamagedBytesNeverYieldAnEntry") {
   const TemporaryFolder folder;
   {
     LogStore store(folder.Path);
@@ -209,10 +210,10 @@
     REQUIRE(store.append({entryAt(4), entryAt(5), entryAt(6)}).ok());
   }
   const fs::path file = newestFile(folder.Path);
-  const std::string whole = bytesOf(file);
+  const std::string complete = bytesOf(file);
   std::mt19937_64 random(3);
   for (int i = 0; i < 300; ++i) {
-    std::string bytes = whole;
+    std::string bytes = complete;
     auto &damaged = bytes[random() % bytes.size()];
     damaged =
         static_cast<char>(damaged ^ static_cast<char>(1 + random() % 255));
@@ -228,7 +229,7 @@
   }
 }
 
-TEST_CASE("LogStore_MutatedFilesGiveNothingThatWasNotWritten") {
+TEST_CASE("LogStore_MutatedFilesYieldNoUnwrittenRecords") {
   std::mt19937_64 random(5);
   for (int i = 0; i < 400; ++i) {
     const TemporaryFolder folder;
--- a/src/consensus/tests/ResendTest.cpp
+++ b/src/consensus/tests/ResendTest.cpp
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a member hasn't answered yet is on its way, more often than it is
-/// lost: a slow link carries few copies, and heartbeats go on beside them.
+/// \file Tests for resends: an unanswered message is more often delayed than
+/// lost, so a slow link carries few copies, and heartbeats continue beside
+/// them.
 
 #include "consensus/tests/SimulatedGroup.h"
 
@@ -13,20 +14,20 @@
 
 namespace {
 
-/// As the narrowest link that a VM was seen with.
+/// Bytes per second of the narrowest links between VMs.
 constexpr double NarrowRate = 250e3;
 constexpr std::size_t EntryBytes = 200 << 10;
 constexpr std::size_t StateBytes = 800 << 10;
-/// All messages without entries or state in a test's time.
-constexpr std::size_t SmallMessages = 20 << 10;
+/// Upper bound for all messages without entries or state during a test.
+constexpr std::size_t SmallMessageBytes = 20 << 10;
 
-struct Slow {
+struct LeaderLink {
   std::size_t Leader = 0;
   std::size_t Follower = 0;
 };
 
-/// A group that leads, and the way from its leader to one follower.
-Slow begin(SimulatedGroup &group) {
+/// Waits for a leader, and returns it with one follower.
+LeaderLink awaitLeader(SimulatedGroup &group) {
   group.run(milliseconds(2500));
   group.propose();
   group.run(milliseconds(500));
@@ -34,11 +35,12 @@
   return {*group.leader(), (*group.leader() + 1) % group.size()};
 }
 
-/// Brings three large entries over a narrow link, and counts its bytes.
-std::size_t bytesOfThreeEntries(bool letsSmallBy) {
+/// Replicates three large entries over a narrow link, and returns the bytes
+/// sent.
+std::size_t bytesOfThreeEntries(bool hasSmallBypass) {
   SimulatedGroup group(3, 3, 3, 5);
-  const auto [leader, follower] = begin(group);
-  group.narrow(leader, follower, NarrowRate, letsSmallBy);
+  const auto [leader, follower] = awaitLeader(group);
+  group.limitBandwidth(leader, follower, NarrowRate, hasSmallBypass);
   const auto before = group.sentBytes(leader, follower);
   const auto applied = group.appliedIndex(follower);
   for (int i = 0; i < 3; ++i)
@@ -46,28 +48,28 @@
   group.run(milliseconds(10000));
   CHECK(group.appliedIndex(follower) == applied + 3);
   CHECK(group.leader() == leader);
-  CHECK(group.fault() == "");
+  CHECK(group.violation() == "");
   return group.sentBytes(leader, follower) - before;
 }
 
 } // namespace
 
 TEST_CASE("Resend_SlowLinkCarriesLargeEntriesOnce") {
-  CHECK(bytesOfThreeEntries(false) < 3 * EntryBytes + SmallMessages);
-  // The answers to heartbeats that overtake an entry don't speak of it.
-  CHECK(bytesOfThreeEntries(true) < 3 * EntryBytes + SmallMessages);
+  CHECK(bytesOfThreeEntries(false) < 3 * EntryBytes + SmallMessageBytes);
+  // Replies to heartbeats that overtake an entry don't acknowledge it.
+  CHECK(bytesOfThreeEntries(true) < 3 * EntryBytes + SmallMessageBytes);
 }
 
-TEST_CASE("Resend_MemberThatGetsALargeStateHearsItsLeader") {
+TEST_CASE("Resend_MemberReceivesHeartbeatsDuringALargeSnapshot") {
   SimulatedGroup group(3, 3, 3, 6);
-  const auto [leader, follower] = begin(group);
+  const auto [leader, follower] = awaitLeader(group);
   group.kill(follower);
   group.setStateBytes(StateBytes);
   for (int i = 0; i < 20; ++i) {
     group.propose();
     group.run(milliseconds(50));
   }
-  group.narrow(leader, follower, NarrowRate, true);
+  group.limitBandwidth(leader, follower, NarrowRate, true);
   const auto before = group.sentBytes(leader, follower);
   group.start(follower);
   group.run(milliseconds(400));
@@ -76,70 +78,72 @@
   CHECK(group.votesAsked(follower) == votes);
   CHECK(group.appliedIndex(follower) == group.appliedIndex(leader));
   CHECK(group.sentBytes(leader, follower) - before <
-        StateBytes + SmallMessages);
-  CHECK(group.fault() == "");
+        StateBytes + SmallMessageBytes);
+  CHECK(group.violation() == "");
 }
 
-TEST_CASE("Resend_MemberThatDoesNotAnswerIsRepeatedToLaterAndLater") {
+TEST_CASE("Resend_IntervalGrowsForASilentMember") {
   SimulatedGroup group(3, 3, 3, 7);
-  const auto [leader, follower] = begin(group);
-  group.cut(leader, follower);
-  // The answers to earlier heartbeats are in by then.
+  const auto [leader, follower] = awaitLeader(group);
+  group.blockLink(leader, follower);
+  // By then the replies to earlier heartbeats have arrived.
   group.run(milliseconds(100));
   const auto before = group.sentBytes(leader, follower);
   group.propose(EntryBytes);
   group.run(milliseconds(12000));
   const auto sent = group.sentBytes(leader, follower) - before;
-  // It still gets one now and then: it may be well again.
+  // The leader still sends one occasionally, since the member may be reachable
+  // again.
   CHECK(sent < 8 * EntryBytes);
   CHECK(sent > 3 * EntryBytes);
   group.heal();
   group.run(milliseconds(4500));
   CHECK(group.appliedIndex(follower) == group.appliedIndex(leader));
-  CHECK(group.fault() == "");
+  CHECK(group.violation() == "");
 }
 
-TEST_CASE("Resend_LostConnectionBringsARepeatAtOnce") {
+TEST_CASE("Resend_LostConnectionCausesAnImmediateResend") {
   SimulatedGroup group(3, 3, 3, 8);
-  const auto [leader, follower] = begin(group);
-  group.narrow(leader, follower, NarrowRate, true);
+  const auto [leader, follower] = awaitLeader(group);
+  group.limitBandwidth(leader, follower, NarrowRate, true);
   const auto before = group.sentBytes(leader, follower);
   group.propose(EntryBytes);
   group.run(milliseconds(300));
   group.breakConnection(follower, leader);
   const auto sent = group.sentBytes(leader, follower) - before;
   CHECK(sent > 2 * EntryBytes);
-  // The repeat takes 0.8 s, and no other follows it.
+  // The resend takes 0.8 s on the link, and no other follows it.
   group.run(milliseconds(1000));
   CHECK(group.appliedIndex(follower) == group.appliedIndex(leader));
   CHECK(group.sentBytes(leader, follower) - before <
-        2 * EntryBytes + SmallMessages);
+        2 * EntryBytes + SmallMessageBytes);
   group.breakConnection(follower, leader);
   group.run(milliseconds(100));
   CHECK(group.sentBytes(leader, follower) - before <
-        2 * EntryBytes + SmallMessages);
-  CHECK(group.fault() == "");
+        2 * EntryBytes + SmallMessageBytes);
+  CHECK(group.violation() == "");
 }
 
-TEST_CASE("Resend_MemberThatAnswersBeginsWithTheFirstIntervalAgain") {
+TEST_CASE("Resend_ReplyResetsTheInterval") {
   SimulatedGroup group(3, 3, 3, 9);
-  const Slow way = begin(group);
+  const LeaderLink link = awaitLeader(group);
   const auto copiesIn = [&](Duration time) {
-    const auto before = group.sentBytes(way.Leader, way.Follower);
+    const auto before = group.sentBytes(link.Leader, link.Follower);
     group.propose(EntryBytes);
     group.run(time);
-    return (group.sentBytes(way.Leader, way.Follower) - before) / EntryBytes;
+    return (group.sentBytes(link.Leader, link.Follower) - before) / EntryBytes;
   };
   for (int round = 0; round < 2; ++round) {
-    group.cut(way.Leader, way.Follower);
+    group.blockLink(link.Leader, link.Follower);
     group.run(milliseconds(100));
-    // The first, the repeat 2.0 s later, and the next one 2.4 s after that.
+    // The first send, the resend 2.0 s later, and the next one 2.4 s after
+    // that.
     CHECK(copiesIn(milliseconds(1900)) == 1);
     group.run(milliseconds(300));
     CHECK(copiesIn(milliseconds(1900)) == 0);
     group.heal();
     group.run(milliseconds(5000));
-    CHECK(group.appliedIndex(way.Follower) == group.appliedIndex(way.Leader));
+    CHECK(group.appliedIndex(link.Follower) == group.appliedIndex(link.Leader));
   }
-  CHECK(group.fault() == "");
+  CHECK(group.violation() == "");
 }
--- a/src/distribution/tests/ConfigurationTransferTest.cpp
+++ b/src/distribution/tests/ConfigurationTransferTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file A change on its way from a control VM to an entry VM, part by part.
+/// \file Transfer of a delta from a control VM to an entry VM, part by part.
 
 #include "distribution/ConfigurationFetch.h"
 #include "distribution/ConfigurationSender.h"
@@ -27,7 +27,7 @@
   return *decodeRouteList(routeListDocument(version, count));
 }
 
-/// Keeps the requests of a fetch.
+/// Records the requests of a fetch.
 struct Requests : public peer::IPeerSender {
   bool send(const std::string &ip,
             const peer::wire::Message &message) override {
@@ -42,7 +42,7 @@
 struct Fixture {
   Fixture() { Sender.take(routes(4, 2000)); }
 
-  /// The sender's answer to the oldest request.
+  /// Returns the sender's answer to the oldest request.
   peer::wire::ConfigurationPart answer() {
     REQUIRE(!Out.Sent.empty());
     const auto request = Out.Sent.front().second;
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("ConfigurationTransfer_OnePartIsOnItsWayAtATime") {
+TEST_CASE("ConfigurationTransfer_OnePartIsInFlightAtATime") {
   Fixture it;
   REQUIRE(it.Fetch.start(it.Now, SenderIp, 0));
   int parts = 1;
@@ -75,7 +75,7 @@
   CHECK(it.Fetch.change().Routes.size() == 2000);
 }
 
-TEST_CASE("ConfigurationTransfer_WhatIsOnItsWayIsNotAskedForAgain") {
+TEST_CASE("ConfigurationTransfer_PartInFlightIsNotRequestedAgain") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   for (int i = 0; i < 9; ++i) {
@@ -85,23 +85,22 @@
   CHECK(it.Out.Sent.size() == 1);
 }
 
-TEST_CASE("ConfigurationTransfer_SilentControlVmIsGivenUp") {
+TEST_CASE("ConfigurationTransfer_SilentControlVmIsAbandoned") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   it.Now += milliseconds(1001);
   CHECK(it.Fetch.start(it.Now, OtherIp, 0));
   CHECK(it.Out.Sent.back().first == OtherIp);
-  // Its late answer is none to the new question.
+  // The late answer of the first control VM doesn't belong to the new fetch.
   CHECK(it.exchange() == PartResult::Unexpected);
-  // The next one is waited for twice as long.
+  // The next control VM gets twice as long.
   it.Now += milliseconds(1500);
   CHECK(!it.Fetch.start(it.Now, SenderIp, 0));
   it.Now += milliseconds(600);
   CHECK(it.Fetch.start(it.Now, SenderIp, 0));
 }
 
-TEST_CASE(
-    "ConfigurationTransfer_SilentControlVmIsAskedAgainOnlyWhereNoOtherIs") {
+TEST_CASE("ConfigurationTransfer_SilentControlVmIsRetriedLaterThanAnotherOne") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   it.Now += milliseconds(1500);
@@ -110,7 +109,7 @@
   CHECK(it.Fetch.start(it.Now, SenderIp, 0));
 }
 
-TEST_CASE("ConfigurationTransfer_SlowControlVmIsLeft") {
+TEST_CASE("ConfigurationTransfer_SlowControlVmIsAbandoned") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   Duration took{};
@@ -124,7 +123,7 @@
   CHECK(it.Out.Sent.back().first == OtherIp);
 }
 
-TEST_CASE("ConfigurationTransfer_ChangesThatDoNotFitComeRarely") {
+TEST_CASE("ConfigurationTransfer_RejectedDeltasBackOff") {
   Fixture it;
   int fetches = 0;
   for (int i = 0; i < 400; ++i) {
@@ -135,7 +134,7 @@
     it.Fetch.lost(it.Out.Sent.back().first);
     it.Fetch.reject(it.Now);
   }
-  // In ten seconds, after 1, 2, 4 and 8 of them.
+  // At most four fetches in ten seconds, with pauses of 1, 2, 4 and 8 s.
   CHECK(fetches <= 4);
   it.Fetch.accept();
   it.Now += milliseconds(8000);
@@ -151,7 +150,7 @@
   CHECK(it.Fetch.start(it.Now, OtherIp, 0));
 }
 
-TEST_CASE("ConfigurationTransfer_NewerConfigurationLetsTheOldOneThrough") {
+TEST_CASE("ConfigurationTransfer_NewerConfigurationDoesNotAbortTheTransfer") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
   CHECK(it.exchange() == PartResult::Taken);
@@ -165,7 +164,7 @@
   CHECK(it.Fetch.change().To == 6);
 }
 
-TEST_CASE("ConfigurationTransfer_NothingGoesToOneWhoHoldsTheNewest") {
+TEST_CASE("ConfigurationTransfer_NothingIsSentForTheNewestVersion") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 4);
   CHECK(!it.Sender.answer(ReceiverIp, it.Out.Sent.front().second));
