--- a/src/request/CallerRequest.cpp
+++ b/src/request/CallerRequest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// "<vm>.<database>.<number>.<nonce>"
+/// Parts of a transaction id: "<vm>.<database>.<number>.<nonce>".
 constexpr std::size_t Parts = 4;
 
 std::string partOf(const TransactionId &transaction, std::size_t n) {
--- a/src/request/DecisionText.cpp
+++ b/src/request/DecisionText.cpp
@@ -16,7 +16,7 @@
 
 using enum NoteKind;
 
-/// "@" stands for the instance, "#" for the mark.
+/// "@" is replaced by the instance, "#" by the mark.
 constexpr auto Sentences = std::to_array<NameEntry<NoteKind>>({
     {Admitted, "The request was let in."},
     {Refused, "The request was refused on arrival."},
--- a/src/request/IRequestCoordinator.h
+++ b/src/request/IRequestCoordinator.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The life of every request, from its arrival to its answer, as a
-/// state machine without sockets, clocks or threads.
+/// \file Handles each request from its arrival to its answer, as a state
+/// machine without sockets, clocks or threads.
 
 #ifndef STEPLEDGE_REQUEST_IREQUESTCOORDINATOR_H
 #define STEPLEDGE_REQUEST_IREQUESTCOORDINATOR_H
@@ -18,22 +18,22 @@
 public:
   virtual ~IRequestCoordinator() = default;
 
-  /// Takes in \p event and returns what is to be done, in that order.
+  /// Processes \p event and returns the effects to apply, in order.
   virtual Effects onEvent(const Event &event, TimePoint now) = 0;
 
-  /// When to call with TimePassed at the latest.
+  /// The latest time at which the next TimePassed event is due.
   virtual std::optional<TimePoint> nextWake() const = 0;
 
-  /// Requests and transactions not yet finished.
+  /// The number of unfinished requests and transactions.
   virtual std::size_t openWork() const = 0;
 
-  /// Whether no primary of \p database has been heard of lately; for another
-  /// VM's question.
+  /// Whether no primary of \p database has answered recently. Other VMs query
+  /// this before they replace the primary.
   virtual bool isPrimarySilent(const DatabaseId &database,
                                TimePoint now) const = 0;
 
-  /// Whether every database's configuration is known and a read or a write
-  /// can be served; for the balancer's question.
+  /// Whether each database has an instance that answered recently, so that a
+  /// read or a write can be served; for the load balancer's health check.
   virtual bool isServing(TimePoint now) const = 0;
 };
 
--- a/src/request/RequestModule.h
+++ b/src/request/RequestModule.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Set-up of the request module.
+/// \file Creates the request module.
 
 #ifndef STEPLEDGE_REQUEST_REQUESTMODULE_H
 #define STEPLEDGE_REQUEST_REQUESTMODULE_H
@@ -14,8 +14,8 @@
 
 namespace stepledge::request {
 
-/// \p seed feeds all chance in the coordinator; the same events with the same
-/// seed have the same effects.
+/// \p seed initialises the random numbers of the coordinator; the same events
+/// with the same seed have the same effects.
 std::unique_ptr<IRequestCoordinator>
 makeRequestCoordinator(const settings::Settings &settings, std::uint64_t seed,
                        TimePoint now);
--- a/src/request/internal/ActiveRequest.h
+++ b/src/request/internal/ActiveRequest.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file One request between its arrival and its answer.
+/// \file The state of one request between its arrival and its answer.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_ACTIVEREQUEST_H
 #define STEPLEDGE_REQUEST_INTERNAL_ACTIVEREQUEST_H
@@ -19,7 +19,7 @@
 enum class Phase {
   Queued,
   Reading,
-  /// A write without a key was sent, its commit included.
+  /// A write without a key was sent, including its commit.
   Writing,
   /// A write with a key was sent without its commit.
   Inserting,
@@ -27,12 +27,13 @@
   Committing,
   /// The recorded answer of an earlier request with the key is being read.
   Replaying,
-  /// The commit's outcome is open; it waits for a primary to ask.
+  /// The commit's outcome is unknown; a primary is awaited for a probe.
   AwaitingProbe,
-  /// The key is being put in again, to see whether it can be.
+  /// The key is inserted again to find out whether the write committed.
   Probing,
+  /// The probe found the key; its recorded answer is being read.
   ProbeReading,
-  /// It ran; its answer waits for a majority to hold Awaited.
+  /// The write ran; its answer waits until a majority holds Awaited.
   AwaitingMajority,
   Beginning,
   InTransaction,
@@ -45,20 +46,20 @@
   admission::WorkClass Class = admission::WorkClass::Browse;
   Phase Now = Phase::Queued;
   TimePoint ArrivedAt;
-  /// Not to be tried before.
+  /// Earliest time of the next attempt.
   TimePoint NotBefore;
   int Attempts = 0;
   std::set<InstanceId> Tried;
   ConnectionId On;
-  /// The primary's term when the write was sent to it.
+  /// The primary's term when the write was sent.
   Term SentIn;
-  /// Not before what was written: others may have written in between.
+  /// Upper bound of the write's position: other writes may have come between.
   Mark Awaited;
-  /// Not after what was written, where that is known.
+  /// Lower bound of the write's position, where it is known.
   std::optional<Mark> AtLeast;
-  /// What is answered once Awaited is held.
+  /// The answer sent once a majority holds Awaited.
   CallerAnswer Pending;
-  /// What is answered if the deadline comes while it is queued.
+  /// The code answered if the deadline passes while the request is queued.
   ResultCode Waiting = ResultCode::DeadlinePassed;
   DecisionRecord Record;
 };
--- a/src/request/internal/ConnectionPool.cpp
+++ b/src/request/internal/ConnectionPool.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Connections that may be opening at once, per instance.
+/// Connections per instance that may be opening at the same time.
 constexpr int OpeningLimit = 2;
 constexpr Duration FirstBackoff = milliseconds(50);
 constexpr Duration LongestBackoff = milliseconds(1000);
--- a/src/request/internal/ConnectionPool.h
+++ b/src/request/internal/ConnectionPool.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The connections of one process to one database group: how many there
-/// may be, and what each is doing.
+/// \file The connections of one process to one database group, with their
+/// limits and states.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_CONNECTIONPOOL_H
 #define STEPLEDGE_REQUEST_INTERNAL_CONNECTIONPOOL_H
@@ -22,7 +22,7 @@
   Opening,
   Idle,
   Busy,
-  /// Held by a transaction that runs nothing just now.
+  /// Held by a transaction that runs no statement at present.
   Pinned,
 };
 
@@ -30,7 +30,7 @@
   ConnectionId Id;
   InstanceId Instance;
   ConnectionState State = ConnectionState::Opening;
-  /// Asks the instance about itself and takes no slot.
+  /// Polls the instance's state and takes no slot.
   bool Monitoring = false;
   TimePoint Since;
 };
@@ -41,29 +41,30 @@
   ConnectionPool(const settings::DatabaseSettings &database,
                  std::uint64_t &nextId);
 
-  /// Whether one more may be opened now: within the limit, few at once, and
-  /// not right after a failure. The last one is kept for monitoring.
+  /// Whether another connection may be opened now, by the limits on open and
+  /// on opening connections and by the backoff after a failure. One connection
+  /// is reserved for monitoring.
   bool mayOpen(const InstanceId &instance, bool monitoring,
                TimePoint now) const;
   ConnectionId startOpening(const InstanceId &instance, bool monitoring,
                             TimePoint now);
   void opened(ConnectionId id, TimePoint now);
-  /// Forgets it; a failure to open delays the next try.
+  /// Removes the connection; a failure to open it delays the next attempt.
   std::optional<PooledConnection> drop(ConnectionId id, bool failed,
                                        TimePoint now);
 
   const PooledConnection *find(ConnectionId id) const;
   void setState(ConnectionId id, ConnectionState state, TimePoint now);
 
-  /// An idle connection for callers' work; the one used last.
+  /// The most recently used idle connection for callers' work.
   std::optional<ConnectionId> idle(const InstanceId &instance) const;
-  /// Statements in flight for callers.
+  /// The number of connections that run callers' work.
   int inFlight(const InstanceId &instance) const;
   int count(const InstanceId &instance, bool monitoring) const;
   int opening(const InstanceId &instance) const;
   std::vector<PooledConnection> of(const InstanceId &instance) const;
-  /// Connections that should be open though none is asked for: as many as can
-  /// run at once and one to spare, since opening takes long.
+  /// The number of connections to keep open in advance: one for each slot and
+  /// one spare, since opening takes long.
   int warmTarget(const InstanceId &instance) const;
   std::size_t size() const { return Connections.size(); }
 
--- a/src/request/internal/DatabaseContext.cpp
+++ b/src/request/internal/DatabaseContext.cpp
@@ -18,7 +18,7 @@
 constexpr double RetryReserve = 50;
 constexpr int ServiceWeight = 8;
 constexpr Duration FarAway = milliseconds(50);
-/// Callers are never told to come back sooner.
+/// The shortest retry delay that a refusal reports to the caller.
 constexpr Duration LeastRetryAfter = milliseconds(50);
 constexpr std::size_t EntryLimit = 64;
 
--- a/src/request/internal/DatabaseContext.h
+++ b/src/request/internal/DatabaseContext.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What the flows of one database share: what is known of the group,
-/// the connections, the queue, and the requests under way.
+/// \file The state that the flows of one database share: the view of the
+/// group, the connections, the queue and the active requests.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_DATABASECONTEXT_H
 #define STEPLEDGE_REQUEST_INTERNAL_DATABASECONTEXT_H
@@ -25,14 +25,14 @@
 
 namespace stepledge::request {
 
-/// What a connection is running.
+/// The kinds of work that a connection runs.
 struct ObserveWork {};
 struct ReadWork {
   RequestId Request;
 };
 struct WriteWork {
   RequestId Request;
-  /// Steps before the transaction's own.
+  /// Steps of the batch before those of the transaction.
   std::size_t Offset = 0;
 };
 struct TransactionWork {
@@ -70,17 +70,18 @@
   /// @{
   ActiveRequest *find(RequestId id);
   void note(ActiveRequest &request, Note note, TimePoint now);
-  /// The connection to \p instance was lost while \p id ran on it; gives the
-  /// request, if it is still open.
+  /// Records that the connection to \p instance was lost while \p id ran on
+  /// it; returns the request if it is still open.
   ActiveRequest *noteLost(RequestId id, const InstanceId &instance,
                           TimePoint now);
-  /// Answers and forgets the request.
+  /// Answers the request and removes it.
   void finish(RequestId id, CallerAnswer answer, TimePoint now);
   void refuse(RequestId id, ResultCode code, const std::string &detail,
               TimePoint now);
-  /// Puts it back into the queue, first in its class.
+  /// Puts the request back into the queue, at the front of its class.
   void requeue(ActiveRequest &request);
-  /// Tries it again if that is within the budget, else refuses with \p code.
+  /// Retries the request if the limit of attempts and the retry budget allow
+  /// it, else refuses it with \p code.
   void retryOrRefuse(ActiveRequest &request, ResultCode code, TimePoint now);
   /// @}
 
@@ -88,18 +89,18 @@
   /// @{
   void send(ConnectionId connection, Work work,
             std::vector<upstream::Step> steps, TimePoint now);
-  /// Takes a connection out of use; the database rolls back what is open.
+  /// Closes a connection; the database rolls back an open transaction.
   void close(ConnectionId connection, TimePoint now);
-  /// Makes a connection idle again, proved by its transaction state: what is
-  /// open is rolled back first, and what is unclear is closed.
+  /// Makes a connection idle again if its transaction state allows it: an open
+  /// transaction is rolled back first, an unclear state closes the connection.
   void release(ConnectionId connection, upstream::TransactionState after,
                TimePoint now);
-  /// An idle connection, where a slot is free as well.
+  /// An idle connection to \p instance, if it has a free slot too.
   std::optional<ConnectionId> connectionFor(const InstanceId &instance) const;
   bool hasFreeSlot(const InstanceId &instance) const;
   routing::Loads loads() const;
   bool hasCapacity() const;
-  /// The primary, if it has been heard of lately.
+  /// The primary, if it has answered recently.
   std::optional<InstanceId> livePrimary(TimePoint now) const;
   void noteServed(const InstanceId &instance, TimePoint sentAt, TimePoint now);
   /// @}
@@ -124,7 +125,7 @@
   bool Stopping = false;
 };
 
-/// The answer fields that every answer from \p step has.
+/// The result set of \p step, for the answer to the caller.
 ResultSet resultOf(const upstream::StepResult &step);
 
 } // namespace stepledge::request
--- a/src/request/internal/DatabaseCoordinator.cpp
+++ b/src/request/internal/DatabaseCoordinator.cpp
@@ -186,8 +186,9 @@
   lost(connection, now);
 }
 
-// NOTE: What runs there can't be acknowledged any more. Its outcome is looked
-// up at the new primary at once, instead of when the old one is given up on.
+// NOTE: Work on a replaced primary can't be acknowledged any more. Its outcome
+// is looked up at the new primary at once, instead of after the old one's
+// timeout.
 void DatabaseCoordinator::leaveReplacedPrimary(TimePoint now) {
   const auto primary = Context.View.primary();
   if (!primary || Context.View.term() == LeftBefore)
@@ -210,8 +211,8 @@
                                    const upstream::BatchResult &result,
                                    TimePoint now) {
   const auto it = Context.Running.find(connection);
-  // NOTE: An answer to a batch that is not the one under way is late or
-  // doubled, and belongs to nobody any more.
+  // NOTE: An answer to a batch other than the running one is late or
+  // duplicated; no request waits for it.
   if (it == Context.Running.end() || it->second.Batch != result.Id)
     return;
   const auto running = it->second;
@@ -235,7 +236,7 @@
       Self.Transactions.finished(it, Running, Connection, Result, Now);
     }
     void operator()(const ResetWork &) const {
-      // NOTE: What a rollback didn't make idle is of no more use.
+      // NOTE: A connection that is not idle after a rollback is unusable.
       if (Result.After == upstream::TransactionState::Idle)
         Self.Context.release(Connection, Result.After, Now);
       else
@@ -300,7 +301,7 @@
   }
 }
 
-// Answers wait for a majority, or writes for a new primary.
+// Whether answers wait for a majority, or a primary is being replaced.
 bool DatabaseCoordinator::isEager() const {
   return Writes.hasWaiters() || Replacing.isEager();
 }
--- a/src/request/internal/DatabaseCoordinator.h
+++ b/src/request/internal/DatabaseCoordinator.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file All requests of one database: takes events, drives the flows.
+/// \file Handles all requests of one database: processes the events and runs
+/// the flows.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_DATABASECOORDINATOR_H
 #define STEPLEDGE_REQUEST_INTERNAL_DATABASECOORDINATOR_H
@@ -36,7 +37,7 @@
   void peerSaid(const PeerOpinion &opinion) { Replacing.peerSaid(opinion); }
   bool isPrimarySilent(TimePoint now) const { return Replacing.isSilent(now); }
 
-  /// Does whatever is due; to be called after each event.
+  /// Runs all due work; must be called after each event.
   void advance(TimePoint now);
   Effects takeEffects();
   std::optional<TimePoint> nextWake(TimePoint now) const;
@@ -51,14 +52,14 @@
   void expireQueued(TimePoint now);
   void expireSent(TimePoint now);
   void keepWarm(TimePoint now);
-  /// Gives up what still runs at a primary that has been replaced.
+  /// Aborts writes and transactions that still run on a replaced primary.
   void leaveReplacedPrimary(TimePoint now);
   void loseConnection(ConnectionId connection, TimePoint now);
   void loseInstance(const InstanceId &instance, TimePoint now);
   void loseWork(const RunningWork &running, TimePoint now);
 
   DatabaseContext Context;
-  /// The term in which work was last given up on older primaries.
+  /// The newest term for which work on older primaries was aborted.
   Term LeftBefore;
   ObserveFlow Observing;
   ReplacementFlow Replacing;
--- a/src/request/internal/LedgerEntry.h
+++ b/src/request/internal/LedgerEntry.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What the ledger of idempotency keys holds of a request.
+/// \file The entry of a request in the ledger of idempotency keys.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_LEDGERENTRY_H
 #define STEPLEDGE_REQUEST_INTERNAL_LEDGERENTRY_H
@@ -14,11 +14,12 @@
 
 namespace stepledge::request {
 
-/// Tells one request from another under the same key.
+/// A hash that distinguishes different requests with the same key.
 std::string digestOf(const Statement &statement);
 
+/// The form in which the ledger stores \p result.
 std::string ledgerText(const ResultSet &result);
-/// None for text that is not of ledgerText()'s making.
+/// The inverse of ledgerText(); none for text that it did not write.
 std::optional<ResultSet> readLedgerText(const std::string &text);
 
 } // namespace stepledge::request
--- a/src/request/internal/ObservationRow.h
+++ b/src/request/internal/ObservationRow.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Reads an instance's answer to the dialect's `observe` text.
+/// \file Parses an instance's answer to the dialect's `observe` query.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_OBSERVATIONROW_H
 #define STEPLEDGE_REQUEST_INTERNAL_OBSERVATIONROW_H
@@ -13,7 +13,7 @@
 
 namespace stepledge::request {
 
-/// None where the step failed or its row lacks a column or a number.
+/// None if the step failed, or if a column is missing or not a number.
 std::optional<routing::Observation>
 readObservation(const upstream::StepResult &step);
 
--- a/src/request/internal/ObserveFlow.cpp
+++ b/src/request/internal/ObserveFlow.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// Between questions while answers wait for a majority.
+/// Poll interval while answers wait for a majority or a primary is replaced.
 constexpr Duration EagerSpacing = milliseconds(2);
-/// A monitoring connection that can't be opened yet is looked at again then.
+/// Interval of attempts to open a monitoring connection.
 constexpr Duration OpenSpacing = milliseconds(50);
 
 } // namespace
@@ -60,8 +60,8 @@
     return;
   monitor.Waiting = true;
   monitor.Since = now;
-  // NOTE: A transaction of its own, so that the question is answered whatever
-  // becomes of the order.
+  // NOTE: The step is a transaction of its own, so that the poll is answered
+  // even if the step fails.
   step.SyncAfter = true;
   Context.send(*monitor.Connection, ObserveWork{},
                {std::move(step), {Context.Common.Dialect.Observe, {}, true}},
--- a/src/request/internal/ObserveFlow.h
+++ b/src/request/internal/ObserveFlow.h
@@ -1,8 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Keeps asking each instance about itself, over a connection of its
-/// own.
+/// \file Polls the state of each instance over a separate connection.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_OBSERVEFLOW_H
 #define STEPLEDGE_REQUEST_INTERNAL_OBSERVEFLOW_H
@@ -19,23 +18,23 @@
 public:
   explicit ObserveFlow(DatabaseContext &context);
 
-  /// Asks whom it is time to ask; soon again while \p eager. Returns the
-  /// instances that have not answered for too long.
+  /// Polls the instances that are due, at a shorter interval while \p eager.
+  /// Returns the instances whose answer is overdue.
   std::vector<InstanceId> tick(bool eager, TimePoint now);
   void opened(ConnectionId connection, TimePoint now);
-  /// Sends \p step to \p instance with the next question, at once if none is
-  /// under way; else it is dropped, to be given again.
+  /// Sends \p step to \p instance with an extra poll. While another poll is
+  /// pending, the step is dropped, and the caller sends it again later.
   void order(const InstanceId &instance, upstream::Step step, TimePoint now);
   void finished(const RunningWork &running, ConnectionId connection,
                 const upstream::BatchResult &result, TimePoint now);
-  /// A monitoring connection was lost or could not be opened.
+  /// Handles a monitoring connection that was lost or could not be opened.
   void lost(const InstanceId &instance);
   TimePoint nextWake(bool eager, TimePoint now) const;
 
 private:
   struct Monitor {
     std::optional<ConnectionId> Connection;
-    /// A question, or the opening, is under way.
+    /// A poll or the opening of the connection is pending.
     bool Waiting = false;
     TimePoint Since;
   };
--- a/src/request/internal/ReadFlow.cpp
+++ b/src/request/internal/ReadFlow.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Before an instance whose proof failed is tried again for the same read.
+/// Delay before the same read tries an instance again whose proof failed.
 constexpr Duration TryAgainSpacing = milliseconds(10);
 
-/// Where each step stands in a read's batch.
+/// Index of each step in a read's batch.
 enum ReadStep : std::size_t {
   BeginStep,
   ObserveStep,
@@ -49,8 +49,8 @@
   auto decision = Context.Router.choose(needOf(request), Context.View,
                                         Context.loads(), now, Context.Chance);
   const auto choice = decision.Choice;
-  // NOTE: A waiting read is decided on again and again; only a change of the
-  // decision's kind is worth a record.
+  // NOTE: A waiting read is routed again and again; only a change of the
+  // decision's kind is recorded.
   const auto *last = request.Record.Entries.empty()
                          ? nullptr
                          : std::get_if<routing::RouteDecision>(
@@ -76,7 +76,7 @@
   return false;
 }
 
-// What was tried may do by then.
+// Instances that were tried in vain may meet the need after the delay.
 void ReadFlow::waitForChange(ActiveRequest &request, ResultCode why,
                              TimePoint now) {
   request.Waiting = why;
@@ -136,7 +136,8 @@
   Context.retryOrRefuse(request, ResultCode::NoInstanceFreshEnough, now);
 }
 
-// A primary's data is as fresh as the majority's word that it is one.
+// A primary's data is as old as the last confirmation by a majority that it is
+// the primary.
 std::optional<Duration> ReadFlow::ageOf(const routing::Observation &seen,
                                         TimePoint now) const {
   const auto confirmed = Context.View.confirmedAt(seen.Promised);
--- a/src/request/internal/ReadFlow.h
+++ b/src/request/internal/ReadFlow.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Reads: choose an instance, let the proof ride along, judge it.
+/// \file Runs reads: chooses an instance, observes its state in the same
+/// transaction, and checks that the state meets the read's needs.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_READFLOW_H
 #define STEPLEDGE_REQUEST_INTERNAL_READFLOW_H
--- a/src/request/internal/ReplacementFlow.cpp
+++ b/src/request/internal/ReplacementFlow.cpp
@@ -89,7 +89,7 @@
   Context.Out.push_back(AskOtherHalls{Context.Database.Id, order.Current});
 }
 
-// A replacement is a decision like any other, and can be asked about.
+// A replacement has a decision record as requests do, so it can be queried.
 void ReplacementFlow::note(ReplacementStage before, TimePoint now) {
   const auto stage = Driver.stage();
   if (before == ReplacementStage::Watching) {
--- a/src/request/internal/ReplacementFlow.h
+++ b/src/request/internal/ReplacementFlow.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Replacement of the primary: hands the driver's orders to the
-/// instances and the other VMs, and records what was done.
+/// \file Replaces a lost primary: sends the driver's orders to the instances
+/// and the other VMs, and records the steps.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_REPLACEMENTFLOW_H
 #define STEPLEDGE_REQUEST_INTERNAL_REPLACEMENTFLOW_H
--- a/src/request/internal/RequestCoordinator.cpp
+++ b/src/request/internal/RequestCoordinator.cpp
@@ -27,7 +27,7 @@
                                        Effects &out) {
   CallerAnswer answer;
   answer.Id = request.Id;
-  // NOTE: A transaction id that names no database here names no transaction.
+  // NOTE: A transaction id with an unknown database is an unknown transaction.
   const bool isName = std::holds_alternative<ReadCall>(request.Asked) ||
                       std::holds_alternative<WriteCall>(request.Asked) ||
                       std::holds_alternative<BeginCall>(request.Asked);
--- a/src/request/internal/RequestCoordinator.h
+++ b/src/request/internal/RequestCoordinator.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Hands each event to the database it is about.
+/// \file Dispatches each event to the coordinator of its database.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_REQUESTCOORDINATOR_H
 #define STEPLEDGE_REQUEST_INTERNAL_REQUESTCOORDINATOR_H
--- a/src/request/internal/SqlGuard.cpp
+++ b/src/request/internal/SqlGuard.cpp
@@ -21,7 +21,8 @@
      "RESET",  "ROLLBACK", "SAVEPOINT",  "SET",        "START",   "UNLISTEN",
      "VACUUM"});
 
-/// Drops blanks and comments from the front; false where one never ends.
+/// Drops leading blanks, ";", "(" and comments; false for a comment that is
+/// nested or never ends.
 bool dropBlank(std::string_view &sql) {
   for (;;) {
     while (!sql.empty() &&
@@ -35,7 +36,7 @@
       sql.remove_prefix(end + 1);
     } else if (sql.starts_with("/*")) {
       const auto end = sql.find("*/", 2);
-      // NOTE: PostgreSQL nests comments, so a nested one is not looked into.
+      // NOTE: PostgreSQL nests comments; a nested one is refused, not parsed.
       if (end == std::string_view::npos ||
           sql.substr(2, end - 2).find("/*") != std::string_view::npos)
         return false;
--- a/src/request/internal/SqlGuard.h
+++ b/src/request/internal/SqlGuard.h
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Keeps callers from ending transactions or changing connections that
-/// are not theirs alone. It looks at the first word only; the connection's
-/// state after each batch is checked besides.
+/// \file Refuses statements that end transactions or change the state of shared
+/// connections. Only the first word is checked; the connection's transaction
+/// state is checked after each batch as well.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_SQLGUARD_H
 #define STEPLEDGE_REQUEST_INTERNAL_SQLGUARD_H
@@ -12,7 +12,7 @@
 
 namespace stepledge::request {
 
-/// Whether \p sql begins with a word that is not for callers.
+/// Whether \p sql begins with a keyword that callers may not use.
 bool isForbidden(std::string_view sql);
 
 } // namespace stepledge::request
--- a/src/request/internal/TransactionFlow.cpp
+++ b/src/request/internal/TransactionFlow.cpp
@@ -213,8 +213,8 @@
   if (step.Outcome != StepOutcome::Ok)
     return Context.refuse(id, ResultCode::StatementFailed,
                           absl::StrCat(step.SqlState, ": ", step.Message), now);
-  // NOTE: The statement ended its transaction by itself, in a way that the
-  // check of its first word missed; what it did can't be told.
+  // NOTE: The statement ended its own transaction in a way that the check of
+  // its first word missed, so its outcome is unknown.
   Context.refuse(
       id, isOpen ? ResultCode::ResultTooLarge : ResultCode::WriteOutcomeUnknown,
       "", now);
--- a/src/request/internal/TransactionFlow.h
+++ b/src/request/internal/TransactionFlow.h
@@ -17,8 +17,8 @@
   TransactionFlow(DatabaseContext &context, WriteFlow &writes)
       : Context(context), Writes(writes) {}
 
-  /// Refuses what can't be run, and takes its turn for what can. Returns
-  /// whether the request may be queued.
+  /// Refuses a request that can't run, else reserves its transaction for it.
+  /// Returns whether the request may be queued.
   bool accept(ActiveRequest &request, TimePoint now);
   /// Returns whether the request has left the queue.
   bool start(ActiveRequest &request, TimePoint now);
@@ -27,11 +27,11 @@
                 TimePoint now);
   void lost(const TransactionWork &work, const InstanceId &instance,
             TimePoint now);
-  /// A pinned connection that ran nothing was lost.
+  /// Handles the loss of a pinned connection that ran nothing.
   void lostPinned(ConnectionId connection, TimePoint now);
-  /// The deadline of a request that was sent, or that waits for a slot.
+  /// Handles the deadline of a request that was sent or waits for a slot.
   void expire(ActiveRequest &request, TimePoint now);
-  /// Ends what has been idle or open for too long.
+  /// Rolls back transactions that have been idle or open for too long.
   void endOverdue(TimePoint now);
   std::optional<TimePoint> nextLimit() const;
   std::size_t open() const { return Table.size(); }
@@ -48,7 +48,7 @@
   void commitDone(ActiveRequest *request, std::uint64_t number,
                   const RunningWork &running,
                   const upstream::BatchResult &result, TimePoint now);
-  /// Forgets the transaction; its connection is closed, which rolls it back.
+  /// Removes the transaction and closes its connection, which rolls it back.
   void abandon(std::uint64_t number, ResultCode reason, TimePoint now);
   TransactionId newId();
 
--- a/src/request/internal/TransactionTable.h
+++ b/src/request/internal/TransactionTable.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The open transactions of one database in this process, and why those
-/// of late are no longer open.
+/// \file The open transactions of one database in this process, and the reasons
+/// why recent ones were closed.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_TRANSACTIONTABLE_H
 #define STEPLEDGE_REQUEST_INTERNAL_TRANSACTIONTABLE_H
@@ -23,7 +23,7 @@
 
 enum class TransactionPhase {
   Beginning,
-  /// Runs nothing just now.
+  /// Runs no statement at present.
   Ready,
   /// A statement waits for a slot or runs.
   Running,
@@ -37,7 +37,7 @@
   Term BegunIn;
   TransactionPhase Now = TransactionPhase::Beginning;
   std::uint32_t NextSequence = 1;
-  /// What runs or waits to.
+  /// The request that runs or waits to run.
   RequestId Request;
   TimePoint OpenedAt;
   TimePoint UsedAt;
@@ -50,8 +50,8 @@
   /// The open transaction of that id, with its number.
   std::pair<std::uint64_t, OpenTransaction *> find(const TransactionId &id);
   void close(std::uint64_t number, ResultCode reason);
-  /// Why a transaction is not open; TransactionUnknown if it never was, or is
-  /// long forgotten.
+  /// Why a transaction was closed; TransactionUnknown if it was never open or
+  /// its reason is no longer kept.
   ResultCode whyClosed(const TransactionId &id) const;
   std::size_t size() const { return Open.size(); }
   std::vector<std::uint64_t> numbers() const;
--- a/src/request/internal/WriteAcknowledgement.cpp
+++ b/src/request/internal/WriteAcknowledgement.cpp
@@ -56,8 +56,8 @@
   }
 }
 
-// The log was cut somewhere before Awaited. The write itself may stand before
-// the cut, since Awaited is only known to be not before it.
+// The log was truncated somewhere before Awaited. The write itself may lie
+// before that place, since Awaited is only an upper bound of its position.
 void WriteFlow::discarded(ActiveRequest &request, TimePoint now) {
   const auto id = request.Request.Id;
   Context.note(request, {NoteKind::Discarded, {}, request.Awaited, ""}, now);
@@ -77,7 +77,7 @@
   Context.note(request, {NoteKind::DeadlinePassed, {}, {}, ""}, now);
   switch (request.Now) {
   case Phase::Inserting:
-    // NOTE: No commit was sent, so the database rolls back what it has.
+    // NOTE: No commit was sent, so the database rolls the transaction back.
     Context.close(request.On, now);
     return Context.refuse(id, ResultCode::DeadlinePassed, "", now);
   case Phase::AwaitingMajority:
--- a/src/request/internal/WriteFlow.cpp
+++ b/src/request/internal/WriteFlow.cpp
@@ -17,7 +17,7 @@
 using upstream::StepOutcome;
 using upstream::TransactionState;
 
-/// Where each step stands in a batch, by kind of batch.
+/// Index of each step in its batch, by kind of batch.
 enum PlainStep : std::size_t {
   PlainBegin,
   PlainObserve,
@@ -54,7 +54,7 @@
 
 constexpr std::string_view UniqueViolation = "23505";
 constexpr std::string_view ReadOnlyViolation = "25006";
-/// The class of the states that say that a transaction was rolled back.
+/// The SQLSTATE class of transactions that were rolled back.
 constexpr std::string_view RollbackClass = "40";
 constexpr Duration ProbeSpacing = milliseconds(20);
 
@@ -94,8 +94,8 @@
   return !runs;
 }
 
-// A leaving primary is asked for outcomes to its end, but begins no
-// transactions, and after the grace nothing else.
+// A leaving primary is asked for outcomes until it is gone, but begins no
+// transactions, and after the grace period runs no writes either.
 bool WriteFlow::takesNewWork(const InstanceId &primary,
                              const ActiveRequest &request,
                              TimePoint now) const {
@@ -135,7 +135,7 @@
   const auto primary = usablePrimary(request, now);
   if (!primary)
     return false;
-  // NOTE: Once a commit was sent, only its outcome may be told.
+  // NOTE: Once a commit was sent, only its outcome may be answered.
   const bool isNew = request.Now != Phase::AwaitingProbe;
   if (isNew && hasLostHistory(request)) {
     Context.refuse(request.Request.Id, ResultCode::HistoryLost, "", now);
@@ -203,9 +203,9 @@
                now);
 }
 
-// Puts the key in as the request itself did. While the lost transaction is
-// still open, the instance makes this wait for its end; so success proves
-// that it never will commit, and a violation that it did.
+// Inserts the key as the request itself did. While the lost transaction is
+// still open, the instance blocks this insert until it ends; so success proves
+// that the transaction can never commit, and a violation that it did.
 void WriteFlow::sendProbe(ActiveRequest &request, ConnectionId connection,
                           TimePoint now) {
   const auto &call = callOf(request);
@@ -290,8 +290,8 @@
   if (change.Outcome != StepOutcome::Ok)
     return notRun(request, change, before, now);
   const auto &commit = result.Steps[PlainCommit];
-  // NOTE: replaced between the change and its commit: the database says that it
-  // kept nothing, so the successor may run the write.
+  // NOTE: The primary was replaced between the change and its commit. The
+  // database reports the rollback, so the successor may run the write.
   const bool isReplaced =
       after && after->Role != routing::InstanceRole::Primary;
   if (commit.Outcome == StepOutcome::Failed && isReplaced &&
@@ -380,7 +380,7 @@
   if (read.Outcome != StepOutcome::Ok || !isPrimary)
     return outcomeOpen(request, now);
   // NOTE: The transaction that held the key may have been rolled back between
-  // the two looks; then nothing has been run under it yet.
+  // the insert and this read; then no write has run under the key yet.
   if (read.Rows.empty()) {
     if (request.Now == Phase::ProbeReading)
       return outcomeOpen(request, now);
@@ -417,8 +417,8 @@
     return outcomeOpen(request, now);
   Context.note(request, {NoteKind::KeyAbsent, running.Instance, {}, ""}, now);
   // NOTE: A new primary's log may lack the write and still be lost before a
-  // majority holds its term; the old log would then come back, and the write
-  // with it. So "not run" waits for a majority as "ran" does.
+  // majority holds its term; the old log, with the write, would then become
+  // current again. So "not run" waits for a majority as "ran" does.
   CallerAnswer answer;
   answer.Code = ResultCode::WriteNotFound;
   awaitMajority(request, seen->appliedMark(), std::move(answer), now);
--- a/src/request/internal/WriteFlow.h
+++ b/src/request/internal/WriteFlow.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Writes: run on the primary, acknowledged once a majority holds them,
-/// at most once under a key.
+/// \file Runs writes on the primary, at most once for each key, and
+/// acknowledges them once a majority holds them.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_WRITEFLOW_H
 #define STEPLEDGE_REQUEST_INTERNAL_WRITEFLOW_H
@@ -14,16 +14,16 @@
 
 namespace stepledge::request {
 
-/// The least position that a write can have which the primary took in after
-/// it said \p seen.
+/// The lowest position of a write that the primary ran after it reported
+/// \p seen.
 Mark firstAfter(const routing::Observation &seen);
 
 class WriteFlow {
 public:
   explicit WriteFlow(DatabaseContext &context) : Context(context) {}
 
-  /// Refuses a resend of what is still running here. Returns whether the
-  /// request may be queued.
+  /// Refuses a request whose key belongs to a write that is still running here.
+  /// Returns whether the request may be queued.
   bool accept(ActiveRequest &request, TimePoint now);
   /// Returns whether the request has left the queue.
   bool start(ActiveRequest &request, TimePoint now);
@@ -31,17 +31,18 @@
                 ConnectionId connection, const upstream::BatchResult &result,
                 TimePoint now);
   void lost(const WriteWork &work, const InstanceId &instance, TimePoint now);
-  /// The deadline of a request that has been sent has come.
+  /// Handles the deadline of a request that has been sent.
   void expire(ActiveRequest &request, TimePoint now);
 
-  /// \p answer is given once a majority holds \p mark.
+  /// Sends \p answer once a majority holds \p mark.
   void awaitMajority(ActiveRequest &request, Mark mark, CallerAnswer answer,
                      TimePoint now);
-  /// Answers what a majority has come to hold, or has lost for good.
+  /// Answers the writes that a majority holds or that are permanently lost.
   void settle(TimePoint now);
   bool hasWaiters() const;
 
-  /// The primary that may take a write of \p request now, or none; notes why.
+  /// The primary that may run a write of \p request now. If there is none, the
+  /// wait is noted in the record of \p request.
   std::optional<InstanceId> usablePrimary(ActiveRequest &request,
                                           TimePoint now);
 
@@ -71,7 +72,8 @@
                  ConnectionId connection, const upstream::BatchResult &result,
                  TimePoint now);
   void discarded(ActiveRequest &request, TimePoint now);
-  /// The first step that was not run says whether another try can help.
+  /// Retries or refuses the request, depending on \p step, the first one that
+  /// did not run.
   void notRun(ActiveRequest &request, const upstream::StepResult &step,
               const std::optional<routing::Observation> &seen, TimePoint now);
   void outcomeOpen(ActiveRequest &request, TimePoint now);
@@ -80,7 +82,7 @@
                                            std::size_t step, TimePoint now);
 
   DatabaseContext &Context;
-  /// The term in which the ledger's table is known to be there.
+  /// The newest term in which the ledger's table is known to exist.
   Term LedgerReadyIn;
 };
 
--- a/src/request/tests/DifferentialTest.cpp
+++ b/src/request/tests/DifferentialTest.cpp
@@ -1,12 +1,12 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// The product against a naive version with a single copy, under seeded
-// schedules of lag, loss, doubled answers and replacements. The checker knows
-// only what callers were told and what the logs hold in the end.
+// Compares the product with a naive model that has a single copy of the data,
+// under seeded schedules of lag, loss, duplicated answers and replacements.
+// The checker uses only the answers to callers and the final logs.
 //
-// RC_PARAMS in the environment ("seed=... max_success=...") sets other
-// schedules or more of them; a failing one is printed with its seed.
+// RC_PARAMS in the environment ("seed=... max_success=...") selects other or
+// more schedules; a failing one is printed with its seed.
 
 #include "base/ResultTable.h"
 #include "request/RequestModule.h"
@@ -35,7 +35,7 @@
 void addPeers(int proxy, settings::Settings &out) {
   out.VmNumber = static_cast<std::uint64_t>(proxy) + 1;
   out.Hall = HallId("hall" + std::to_string(proxy));
-  // Short, so that drivers meet often.
+  // Short, so that the drivers of several proxies often act at once.
   out.Failover.Suspect = milliseconds(40);
   out.Failover.Stagger = milliseconds(5);
   out.Failover.Rest = milliseconds(50);
@@ -125,7 +125,7 @@
   }
   void apply(const CloseConnection &it) {
     const auto number = Base + it.Connection.Number;
-    // The instance hears of it only later.
+    // The instance notices it only later.
     Group.after(Group.upTo(3000), [this, number] { Group.forget(number); });
   }
   void apply(const RunBatch &it) {
@@ -162,7 +162,7 @@
   TimePoint ArmedFor;
 };
 
-/// What callers were told.
+/// The answer that a caller got to a write.
 struct ToldWrite {
   std::string Name;
   std::int64_t Value = 0;
@@ -170,12 +170,12 @@
   TimePoint At;
 };
 
-/// The naive version: a name's value is the last acknowledged one.
+/// The naive model: a name's value is the last acknowledged one.
 class History {
 public:
   void wrote(const ToldWrite &write) { Writes.push_back(write); }
 
-  /// The value that a read may not fall short of at \p freshAt.
+  /// The lowest value that a read of the data of \p freshAt may return.
   std::int64_t floorAt(const std::string &name, TimePoint freshAt) const {
     std::int64_t value = 0;
     for (const auto &it : Writes)
@@ -190,7 +190,7 @@
   std::vector<ToldWrite> Writes;
 };
 
-/// One session: it alone writes its name, with rising values.
+/// One session; only it writes its name, with increasing values.
 struct Session {
   std::string Name;
   session::SessionMarks Marks;
@@ -234,8 +234,8 @@
     heal();
     Group.FaultPercent = 0;
     Group.runUntil(Group.now() + milliseconds(3000));
-    // A system that refuses everything would hold all promises; so once all
-    // is well again, every session's write is acknowledged.
+    // A system that refuses everything would keep all guarantees; so once all
+    // faults have ended, each session's write must be acknowledged.
     for (auto &it : Callers)
       writeAtLast(it);
     Group.runUntil(Group.now() + milliseconds(3000));
@@ -330,9 +330,9 @@
   void checkRead(const std::string &name, std::int64_t floor, Duration maxAge,
                  const CallerAnswer &answer) const {
     const auto value = std::stoll(answer.Result.Rows[0][0].value_or("0"));
-    // The session's own acknowledged writes.
+    // The session reads its own acknowledged writes.
     RC_ASSERT(value >= floor);
-    // Everything acknowledged before the age that was told.
+    // The read includes all writes acknowledged before the reported age.
     RC_ASSERT(answer.Age.has_value());
     if (maxAge.count() > 0)
       RC_ASSERT(*answer.Age <= maxAge);
@@ -344,7 +344,7 @@
     it.Marks = answer.Marks;
     if (answer.Code != ResultCode::HistoryLost)
       return;
-    // Told so, the caller begins a new session, which has seen nothing.
+    // After this code the caller begins a new session, which has no marks.
     it.Marks = {};
     it.Acknowledged = 0;
   }
@@ -378,10 +378,10 @@
 
 } // namespace
 
-// The same schedules every time, unless others are asked for.
+// Runs the same schedules every time unless RC_PARAMS selects others.
 void fixSeed() { setenv("RC_PARAMS", "seed=20261202 max_success=150", 0); }
 
-// Seeds that once broke a promise.
+// Seeds whose schedules once violated a guarantee.
 TEST_CASE("Differential_SeedsOfOld") {
   fixSeed();
   bool isDone = false;
@@ -402,7 +402,7 @@
   CHECK(holds);
 }
 
-// The same, with the proxies replacing lost primaries, all at once at times.
+// The same, with the proxies replacing lost primaries, at times concurrently.
 TEST_CASE("Differential_ProxiesReplaceThePrimary") {
   fixSeed();
   const bool holds = rc::check(
--- a/src/request/tests/FakeGroup.cpp
+++ b/src/request/tests/FakeGroup.cpp
@@ -111,7 +111,7 @@
       forget(connection);
       return lost();
     }
-    // A key that an open transaction holds makes others wait for its end.
+    // An insert of a key blocks while another open transaction holds it.
     if (waitsForKey(connection, instance, batch))
       return run(connection, instance, batch, done, lost);
     const auto result = execute(connection, instance, batch);
@@ -226,7 +226,7 @@
   } else if (step.Sql == Dialect.Follow && term >= it.Promised) {
     it.Promised = term;
     it.Role = "replica";
-    // The address of an instance is its number here.
+    // In these tests the port of an instance is its number.
     it.Following = std::stoi(step.Parameters[1].value_or("0"));
   }
   return ok();
@@ -254,7 +254,7 @@
     return ok();
   if (it.Role != "primary")
     return failed("25006");
-  // NOTE: A transaction is one entry, so that it is replicated whole.
+  // NOTE: A transaction is one entry, so that it is replicated atomically.
   FakeEntry whole;
   whole.InTerm = it.Promised;
   for (const auto &write : writes) {
@@ -331,7 +331,7 @@
   for (const auto &it : Instances)
     highest = std::max(highest, it.Promised);
   const auto term = highest + 1;
-  // Two of three are a majority; which two is up to chance.
+  // Two of three are a majority; which two is random.
   const auto left = Random() % Instances.size();
   std::size_t best = Instances.size();
   for (std::size_t n = 0; n < Instances.size(); ++n) {
--- a/src/request/tests/FakeGroup.h
+++ b/src/request/tests/FakeGroup.h
@@ -1,9 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Three instances with logs, and the connections to them, in one queue
-/// of seeded events. Just enough of a database group to break promises with:
-/// it is no part of the product and shares none of its decisions.
+/// \file A simulated group of three instances with logs, and the connections to
+/// them, driven by one queue of seeded events. It is only as complete as the
+/// tests need to break guarantees, and shares no decisions with the product.
 
 #ifndef STEPLEDGE_REQUEST_TESTS_FAKEGROUP_H
 #define STEPLEDGE_REQUEST_TESTS_FAKEGROUP_H
@@ -24,12 +24,12 @@
 
 namespace stepledge::request {
 
-/// One write: "PUT NAME VALUE", or the beginning of a term.
+/// One log entry: a write "PUT NAME VALUE", or the beginning of a term.
 struct FakeEntry {
   std::uint64_t InTerm = 0;
   std::string Name;
   std::int64_t Value = 0;
-  /// Idempotency key, and what the ledger holds under it.
+  /// Idempotency key and the ledger's columns for it.
   std::string Key;
   std::string Digest;
   std::string Result;
@@ -40,11 +40,11 @@
   std::uint64_t Promised = 1;
   std::vector<FakeEntry> Log;
   std::size_t Applied = 0;
-  /// Which one it copies, or -1.
+  /// Index of the instance that it replicates, or -1.
   int Following = 0;
-  /// Hears and tells nothing to the other instances.
+  /// Unreachable for the other instances.
   bool CutFromGroup = false;
-  /// Hears nothing from callers either.
+  /// Unreachable for callers too.
   bool Isolated = false;
   Duration Lag{0};
 
@@ -67,22 +67,23 @@
   Duration upTo(std::int64_t microseconds);
   /// @}
 
-  /// Runs \p batch after a delay and answers after another. The answer may
-  /// come twice, and the connection may be lost on either way. One open
-  /// transaction per \p connection.
+  /// Runs \p batch after a delay and answers after another. The answer may be
+  /// duplicated, and the connection may be lost before or after the run. Each
+  /// \p connection has one open transaction at most.
   void run(std::uint64_t connection, int instance, const upstream::Batch &batch,
            const Done &done, const Lost &lost);
-  /// The connection is gone: its open transaction is rolled back.
+  /// Drops the connection and rolls back its open transaction.
   void forget(std::uint64_t connection);
 
-  /// Fences a majority at the next term and promotes the furthest of it.
+  /// Fences a majority at the next term and promotes the fenced instance with
+  /// the most advanced log.
   void replacePrimary();
-  /// Neither callers nor the other instances reach it; what was sent to it is
-  /// never answered.
+  /// Makes \p instance unreachable for callers and for the other instances;
+  /// batches sent to it are never answered.
   void isolate(int instance);
-  /// Ends cuts and lags.
+  /// Ends partitions and lags.
   void reconnect();
-  /// The same, and lets every instance follow the newest primary.
+  /// Does the same, and lets each instance follow the newest primary.
   void heal();
   int newestPrimary() const;
   const FakeInstance &instance(int n) const { return Instances[Index(n)]; }
--- a/src/request/tests/GoldenSessionTest.cpp
+++ b/src/request/tests/GoldenSessionTest.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// Whole sessions against stored files: events in, effects out. With
-// STEPLEDGE_REWRITE=1 in the environment the files are written anew.
+// Compares the effects of whole sessions with stored files. With
+// STEPLEDGE_REWRITE=1 in the environment the files are rewritten.
 
 #include "request/tests/SessionScript.h"
 
--- a/src/request/tests/SessionScript.cpp
+++ b/src/request/tests/SessionScript.cpp
@@ -288,8 +288,8 @@
   return step;
 }
 
-// What a real instance answers to the batch, and the transaction state that
-// it leaves behind.
+// Answers the batch as a real instance does, with the transaction state after
+// it.
 void SessionScript::reply(const Words &words) {
   const auto found = Batches.find(words[1]);
   if (found == Batches.end())
--- a/src/request/tests/SessionScript.h
+++ b/src/request/tests/SessionScript.h
@@ -1,25 +1,26 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Runs a whole session from text: events in, effects out.
+/// \file Runs a session script: sends its events to the coordinator and writes
+/// down the effects.
 ///
 /// Lines of a script (times in milliseconds, positions as TERM:OFFSET):
-///   instance NAME HALL          before all else
+///   instance NAME HALL          must come first
 ///   acknowledge primary         instead of a majority
-///   state NAME ROLE TERM POS [HISTORY]   what NAME says of itself from now on
-///   silent NAME on|off          its answers to questions stay away
-///   at MS                       lets time pass up to then
+///   state NAME ROLE TERM POS [HISTORY]   the state that NAME reports now
+///   silent NAME on|off          NAME does not answer polls
+///   at MS                       advances the clock to that time
 ///   read ID max_age=N|- marks=M SQL
 ///   write ID key=K|- marks=M SQL
 ///   begin ID | statement ID TX SEQ SQL | commit ID TX SEQ | rollback ID TX
-///   reply BATCH ok [VALUE]      every step goes well; a look-up of a key
+///   reply BATCH ok [VALUE]      every step succeeds; a look-up of a key
 ///                               finds VALUE, as DIGEST/RESULT or same/RESULT
 ///   reply BATCH fail STEP STATE the step fails, those after it are skipped
-///   again BATCH                 the same answer once more
+///   again BATCH                 the same answer is delivered again
 ///   lose BATCH                  its connection is lost
 ///   leaving NAME on|off | stop
-/// Lines that begin with ">" are effects; questions about instances and the
-/// opening of connections are left out.
+/// Lines that begin with ">" are effects; polls of instances and the opening
+/// of connections are left out.
 
 #ifndef STEPLEDGE_REQUEST_TESTS_SESSIONSCRIPT_H
 #define STEPLEDGE_REQUEST_TESTS_SESSIONSCRIPT_H
@@ -77,7 +78,7 @@
   std::map<RequestId, std::string> Names;
   std::map<std::string, TransactionId> Transactions;
   std::vector<Event> Soon;
-  /// What the latest key was put in with.
+  /// The digest that the latest key was inserted with.
   std::string LastDigest;
   std::string Output;
 };
--- a/src/request/types/CallerAnswer.h
+++ b/src/request/types/CallerAnswer.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a caller gets.
+/// \file The answer to a caller's request.
 
 #ifndef STEPLEDGE_REQUEST_TYPES_CALLERANSWER_H
 #define STEPLEDGE_REQUEST_TYPES_CALLERANSWER_H
@@ -30,19 +30,19 @@
 struct CallerAnswer {
   RequestId Id;
   ResultCode Code = ResultCode::Done;
-  /// Adds to the code's meaning; may be empty.
+  /// Text that adds to the code's meaning; may be empty.
   std::string Detail;
   ResultSet Result;
-  /// What the session has seen, this answer included.
+  /// The positions that the session has observed, this answer included.
   session::SessionMarks Marks;
   InstanceId AnsweredBy;
   bool FromReplica = false;
   /// For reads: an upper bound of the data's age.
   std::optional<Duration> Age;
-  /// The recorded answer of an earlier request with the same key.
+  /// Whether this is the recorded answer of an earlier request with the key.
   bool Replayed = false;
   TransactionId Transaction;
-  /// For refusals: when to come back.
+  /// For refusals: the delay before the caller may retry.
   Duration RetryAfter{0};
   DecisionId Decision;
 };
--- a/src/request/types/CallerRequest.h
+++ b/src/request/types/CallerRequest.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a caller asks for.
+/// \file A caller's request.
 
 #ifndef STEPLEDGE_REQUEST_TYPES_CALLERREQUEST_H
 #define STEPLEDGE_REQUEST_TYPES_CALLERREQUEST_H
@@ -26,13 +26,13 @@
 
 struct ReadCall {
   Statement Query;
-  /// Absent: the database's own setting; 0: the primary's current data.
+  /// Absent: the database's setting applies; 0: the primary's current data.
   std::optional<Duration> MaxAge;
 };
 
 struct WriteCall {
   Statement Change;
-  /// Empty: the write has no key and is never resent.
+  /// Idempotency key; a write with an empty key is never resent.
   std::string Key;
 };
 
@@ -59,20 +59,20 @@
 
 struct CallerRequest {
   RequestId Id;
-  /// For calls within a transaction, the one its id names.
+  /// For calls within a transaction, the database named in its id.
   DatabaseId Database;
   session::SessionMarks Marks;
   TimePoint Deadline;
   Call Asked;
 };
 
-/// A short name of what a call asks for, as in "read".
+/// The short name of a call's kind, as in "read".
 std::string kindOf(const Call &call);
-/// The transaction a call is within; empty for the others.
+/// The transaction that a call belongs to; empty for calls outside one.
 TransactionId transactionOf(const Call &call);
-/// The database a transaction id names; empty for text that is no such id.
+/// The database named in a transaction id; empty if the id is malformed.
 DatabaseId databaseOf(const TransactionId &transaction);
-/// The VM that holds the transaction; empty for text that is no such id.
+/// The VM that holds the transaction; empty if the id is malformed.
 VmId ownerOf(const TransactionId &transaction);
 
 } // namespace stepledge::request
--- a/src/request/types/DecisionRecord.h
+++ b/src/request/types/DecisionRecord.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What was decided for one request, and why; kept to be asked about.
+/// \file The decisions made for one request and their reasons, kept for later
+/// queries.
 
 #ifndef STEPLEDGE_REQUEST_TYPES_DECISIONRECORD_H
 #define STEPLEDGE_REQUEST_TYPES_DECISIONRECORD_H
@@ -44,7 +45,7 @@
   ReplacementEnded,
 };
 
-/// One step, with what it was about where that applies.
+/// One step, with the instance and the mark that it concerns, if any.
 struct Note {
   NoteKind Kind = NoteKind::Admitted;
   InstanceId Instance;
@@ -53,7 +54,7 @@
 };
 
 struct RecordEntry {
-  /// Since the request arrived.
+  /// Time since the request arrived.
   Duration After{0};
   std::variant<Note, routing::RouteDecision> What;
 };
@@ -67,7 +68,7 @@
   Duration Took{0};
 };
 
-/// The record in plain sentences, one an entry.
+/// The record as sentences: one for each entry, and one for the outcome.
 std::vector<std::string> describe(const DecisionRecord &record);
 
 } // namespace stepledge::request
--- a/src/request/types/Events.h
+++ b/src/request/types/Events.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What the coordinator is told, and what it wants done.
+/// \file The events that the coordinator processes and the effects it returns.
 
 #ifndef STEPLEDGE_REQUEST_TYPES_EVENTS_H
 #define STEPLEDGE_REQUEST_TYPES_EVENTS_H
@@ -25,7 +25,7 @@
   ConnectionId Connection;
 };
 
-/// Also: could not be opened.
+/// The connection was lost, or could not be opened.
 struct ConnectionLost {
   ConnectionId Connection;
   std::string Reason;
@@ -36,20 +36,21 @@
   upstream::BatchResult Result;
 };
 
-/// A moment that nextWake() asked for has come.
+/// The time that nextWake() returned has been reached.
 struct TimePassed {};
 
-/// The VM is to stop: nothing new is taken, what is open may finish.
+/// The VM shuts down: new requests are refused, open work may finish.
 struct StopRequested {};
 
-/// An operator or the platform says whether an instance is to get new work.
+/// An operator or the platform reports whether an instance is leaving and is
+/// to get no new work.
 struct InstanceLeaving {
   DatabaseId Database;
   InstanceId Instance;
   bool Leaving = true;
 };
 
-/// Another VM says whether it hears the primary of that term.
+/// Another VM reports whether it gets no answers from the primary of that term.
 struct PeerOpinion {
   DatabaseId Database;
   VmId Peer;
@@ -67,14 +68,14 @@
   InstanceId Instance;
 };
 
-/// Whatever still comes from it will be ignored.
+/// Later events of the connection are ignored.
 struct CloseConnection {
   ConnectionId Connection;
 };
 
 struct RunBatch {
   ConnectionId Connection;
-  /// The request it serves; 0 for the process's own questions.
+  /// The request that the batch serves; 0 for the process's own queries.
   RequestId For;
   upstream::Batch Work;
 };
@@ -87,7 +88,8 @@
   DecisionRecord Record;
 };
 
-/// Ask the VMs in other halls whether they hear the primary of that term.
+/// Asks the VMs in other halls whether they get answers from the primary of
+/// that term.
 struct AskOtherHalls {
   DatabaseId Database;
   Term Current;
