--- a/src/request/DecisionText.cpp
+++ b/src/request/DecisionText.cpp
@@ -36,15 +36,16 @@
     {KeyAbsent, "@ lacks the key and can't get it any more, so the request "
                 "was not run."},
     {AwaitingMajority, "@ held it at #; it waited for a majority."},
-    {MajorityHolds, "A majority of the instances held #."},
+    {MajorityReached, "A majority of the instances held #."},
     {Discarded, "The primary was replaced, and the new one's log lacks #."},
     {DeadlinePassed, "The deadline passed."},
     {PrimarySuspected, "@ had been silent for too long, so the VMs in other "
                        "halls were asked whether they hear it."},
     {FencingMajority, "They don't; a majority of the instances was told to "
                       "promise a new term."},
-    {PromotingFurthest, "A majority promised; the one with the furthest log "
-                        "was told to become primary."},
+    {PromotingMostAdvanced,
+     "A majority promised; the one with the furthest log "
+     "was told to become primary."},
     {ReplacementEnded, "It ended; the primary is @, at #."},
 });
 
@@ -59,7 +60,7 @@
     if (c == '@')
       absl::StrAppend(&out, note.Instance.str());
     else if (c == '#')
-      absl::StrAppend(&out, markText(note.At));
+      absl::StrAppend(&out, markText(note.AtMark));
     else
       out.push_back(c);
   }
@@ -109,13 +110,13 @@
   std::vector<std::string> lines;
   for (const auto &entry : record.Entries) {
     const auto text =
-        std::visit([](const auto &it) { return sentence(it); }, entry.What);
+        std::visit([](const auto &it) { return sentence(it); }, entry.Content);
     lines.push_back(absl::StrFormat("After %.1f ms: %s",
-                                    toMilliseconds(entry.After), text));
+                                    toMilliseconds(entry.Elapsed), text));
   }
   const auto &row = resultRow(record.Outcome);
   lines.push_back(absl::StrFormat(
-      "Outcome after %.1f ms: %s (%s): %s", toMilliseconds(record.Took),
+      "Outcome after %.1f ms: %s (%s): %s", toMilliseconds(record.TotalTime),
       std::string(row.Name), std::string(nameOf(row.Class)),
       std::string(row.Meaning)));
   return lines;
--- a/src/request/internal/ActiveRequest.h
+++ b/src/request/internal/ActiveRequest.h
@@ -33,7 +33,7 @@
   Probing,
   /// The probe found the key; its recorded answer is being read.
   ProbeReading,
-  /// The write ran; its answer waits until a majority holds Awaited.
+  /// The write ran; its answer waits until a majority holds AwaitedMark.
   AwaitingMajority,
   Beginning,
   InTransaction,
@@ -44,23 +44,23 @@
 struct ActiveRequest {
   CallerRequest Request;
   admission::WorkClass Class = admission::WorkClass::Browse;
-  Phase Now = Phase::Queued;
+  Phase CurrentPhase = Phase::Queued;
   TimePoint ArrivedAt;
   /// Earliest time of the next attempt.
   TimePoint NotBefore;
   int Attempts = 0;
-  std::set<InstanceId> Tried;
-  ConnectionId On;
+  std::set<InstanceId> TriedInstances;
+  ConnectionId Connection;
   /// The primary's term when the write was sent.
-  Term SentIn;
+  Term SentInTerm;
   /// Upper bound of the write's position: other writes may have come between.
-  Mark Awaited;
+  Mark AwaitedMark;
   /// Lower bound of the write's position, where it is known.
-  std::optional<Mark> AtLeast;
-  /// The answer sent once a majority holds Awaited.
-  CallerAnswer Pending;
+  std::optional<Mark> LowestMark;
+  /// The answer sent once a majority holds AwaitedMark.
+  CallerAnswer PendingAnswer;
   /// The code answered if the deadline passes while the request is queued.
-  ResultCode Waiting = ResultCode::DeadlinePassed;
+  ResultCode ExpiryCode = ResultCode::DeadlinePassed;
   DecisionRecord Record;
 };
 
--- a/src/request/internal/ConnectionPool.cpp
+++ b/src/request/internal/ConnectionPool.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// Connections per instance that may be opening at the same time.
-constexpr int OpeningLimit = 2;
-constexpr Duration FirstBackoff = milliseconds(50);
-constexpr Duration LongestBackoff = milliseconds(1000);
-constexpr int BackoffDoublings = 5;
+constexpr int MaxOpening = 2;
+constexpr Duration InitialBackoff = milliseconds(50);
+constexpr Duration MaxBackoff = milliseconds(1000);
+constexpr int MaxBackoffDoublings = 5;
 
 } // namespace
 
@@ -24,7 +24,7 @@
     Limits[it.Id] = {it.Connections, it.Slots, {}, 0};
 }
 
-bool ConnectionPool::mayOpen(const InstanceId &instance, bool monitoring,
+bool ConnectionPool::canOpen(const InstanceId &instance, bool monitoring,
                              TimePoint now) const {
   const auto it = Limits.find(instance);
   if (it == Limits.end() || now < it->second.NotBefore)
@@ -32,7 +32,7 @@
   if (monitoring)
     return count(instance, true) == 0;
   return count(instance, false) < it->second.Connections - 1 &&
-         opening(instance) < OpeningLimit;
+         opening(instance) < MaxOpening;
 }
 
 ConnectionId ConnectionPool::startOpening(const InstanceId &instance,
@@ -59,8 +59,8 @@
   Connections.erase(it);
   if (failed) {
     auto &limits = Limits[dropped.Instance];
-    const auto doublings = std::min(limits.Failures, BackoffDoublings);
-    const auto wait = std::min(FirstBackoff * (1 << doublings), LongestBackoff);
+    const auto doublings = std::min(limits.Failures, MaxBackoffDoublings);
+    const auto wait = std::min(InitialBackoff * (1 << doublings), MaxBackoff);
     limits.NotBefore = now + wait;
     ++limits.Failures;
   }
@@ -82,10 +82,10 @@
 }
 
 std::optional<ConnectionId>
-ConnectionPool::idle(const InstanceId &instance) const {
+ConnectionPool::idleConnection(const InstanceId &instance) const {
   const PooledConnection *best = nullptr;
   for (const auto &[id, it] : Connections) {
-    const bool fits = it.Instance == instance && !it.Monitoring &&
+    const bool fits = it.Instance == instance && !it.IsMonitoring &&
                       it.State == ConnectionState::Idle;
     if (fits && (best == nullptr || it.Since >= best->Since))
       best = &it;
@@ -98,7 +98,7 @@
 int ConnectionPool::inFlight(const InstanceId &instance) const {
   return static_cast<int>(std::count_if(
       Connections.begin(), Connections.end(), [&](const auto &it) {
-        return it.second.Instance == instance && !it.second.Monitoring &&
+        return it.second.Instance == instance && !it.second.IsMonitoring &&
                it.second.State == ConnectionState::Busy;
       }));
 }
@@ -107,7 +107,7 @@
   return static_cast<int>(std::count_if(
       Connections.begin(), Connections.end(), [&](const auto &it) {
         return it.second.Instance == instance &&
-               it.second.Monitoring == monitoring;
+               it.second.IsMonitoring == monitoring;
       }));
 }
 
@@ -120,7 +120,7 @@
 }
 
 std::vector<PooledConnection>
-ConnectionPool::of(const InstanceId &instance) const {
+ConnectionPool::connectionsTo(const InstanceId &instance) const {
   std::vector<PooledConnection> out;
   for (const auto &[id, it] : Connections)
     if (it.Instance == instance)
--- a/src/request/internal/ConnectionPool.h
+++ b/src/request/internal/ConnectionPool.h
@@ -31,7 +31,7 @@
   InstanceId Instance;
   ConnectionState State = ConnectionState::Opening;
   /// Polls the instance's state and takes no slot.
-  bool Monitoring = false;
+  bool IsMonitoring = false;
   TimePoint Since;
 };
 
@@ -44,7 +44,7 @@
   /// Whether another connection may be opened now, by the limits on open and
   /// on opening connections and by the backoff after a failure. One connection
   /// is reserved for monitoring.
-  bool mayOpen(const InstanceId &instance, bool monitoring,
+  bool canOpen(const InstanceId &instance, bool monitoring,
                TimePoint now) const;
   ConnectionId startOpening(const InstanceId &instance, bool monitoring,
                             TimePoint now);
@@ -57,12 +57,12 @@
   void setState(ConnectionId id, ConnectionState state, TimePoint now);
 
   /// The most recently used idle connection for callers' work.
-  std::optional<ConnectionId> idle(const InstanceId &instance) const;
+  std::optional<ConnectionId> idleConnection(const InstanceId &instance) const;
   /// The number of connections that run callers' work.
   int inFlight(const InstanceId &instance) const;
   int count(const InstanceId &instance, bool monitoring) const;
   int opening(const InstanceId &instance) const;
-  std::vector<PooledConnection> of(const InstanceId &instance) const;
+  std::vector<PooledConnection> connectionsTo(const InstanceId &instance) const;
   /// The number of connections to keep open in advance: one for each slot and
   /// one spare, since opening takes long.
   int warmTarget(const InstanceId &instance) const;
--- a/src/request/internal/DatabaseContext.cpp
+++ b/src/request/internal/DatabaseContext.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-constexpr int AttemptLimit = 6;
+constexpr int MaxAttempts = 6;
 constexpr double RetryReserve = 50;
-constexpr int ServiceWeight = 8;
-constexpr Duration FarAway = milliseconds(50);
+constexpr int ServiceTimeWeight = 8;
+constexpr Duration OtherHallDistance = milliseconds(50);
 /// The shortest retry delay that a refusal reports to the caller.
-constexpr Duration LeastRetryAfter = milliseconds(50);
-constexpr std::size_t EntryLimit = 64;
+constexpr Duration MinRetryAfter = milliseconds(50);
+constexpr std::size_t MaxRecordEntries = 64;
 
 std::vector<InstanceId> idsOf(const settings::DatabaseSettings &database) {
   std::vector<InstanceId> out;
@@ -57,12 +57,12 @@
 DatabaseContext::DatabaseContext(const settings::DatabaseSettings &database,
                                  const settings::Settings &common,
                                  ProcessCounters &counters,
-                                 routing::Random &chance)
+                                 routing::Random &random)
     : Database(database), Common(common), View(idsOf(database)),
       Router(routerSettings(common)),
       Queue({common.Limits.Queue, slotsOf(database)}),
       Retries(common.Limits.RetryShare, RetryReserve),
-      Pool(database, counters.Connections), Counters(counters), Chance(chance) {
+      Pool(database, counters.Connections), Counters(counters), Random(random) {
   for (const auto &it : database.Instances) {
     Limits.emplace(it.Id, admission::ConcurrencyLimit(it.Slots));
     ServiceTimes[it.Id] = milliseconds(1);
@@ -70,7 +70,8 @@
     if (distance != common.Distances.end())
       Distances[it.Id] = distance->second;
     else
-      Distances[it.Id] = it.Hall == common.Hall ? Duration{0} : FarAway;
+      Distances[it.Id] =
+          it.Hall == common.Hall ? Duration{0} : OtherHallDistance;
   }
 }
 
@@ -80,7 +81,7 @@
 }
 
 void DatabaseContext::note(ActiveRequest &request, Note note, TimePoint now) {
-  if (request.Record.Entries.size() < EntryLimit)
+  if (request.Record.Entries.size() < MaxRecordEntries)
     request.Record.Entries.push_back(
         {now - request.ArrivedAt, std::move(note)});
 }
@@ -102,13 +103,13 @@
   auto request = std::move(it->second);
   Requests.erase(it);
   request.Record.Outcome = answer.Code;
-  request.Record.Took = now - request.ArrivedAt;
+  request.Record.TotalTime = now - request.ArrivedAt;
   answer.Id = id;
   answer.Decision = request.Record.Id;
   if (answer.Marks.empty())
     answer.Marks = request.Request.Marks;
-  Out.push_back(SendAnswer{std::move(answer)});
-  Out.push_back(RecordDecision{std::move(request.Record)});
+  PendingEffects.push_back(SendAnswer{std::move(answer)});
+  PendingEffects.push_back(RecordDecision{std::move(request.Record)});
 }
 
 void DatabaseContext::refuse(RequestId id, ResultCode code,
@@ -119,27 +120,27 @@
   const int status = resultRow(code).HttpStatus;
   if (status == 503 || status == 504)
     answer.RetryAfter = std::max(
-        LeastRetryAfter, Queue.expectedWait(admission::WorkClass::Browse));
+        MinRetryAfter, Queue.expectedWait(admission::WorkClass::Browse));
   finish(id, std::move(answer), now);
 }
 
 void DatabaseContext::requeue(ActiveRequest &request) {
-  if (request.Now != Phase::AwaitingProbe)
-    request.Now = Phase::Queued;
+  if (request.CurrentPhase != Phase::AwaitingProbe)
+    request.CurrentPhase = Phase::Queued;
   Queue.putBack({request.Request.Id, request.Class, request.Request.Deadline});
 }
 
 void DatabaseContext::retryOrRefuse(ActiveRequest &request, ResultCode code,
                                     TimePoint now) {
   ++request.Attempts;
-  if (request.Attempts >= AttemptLimit)
+  if (request.Attempts >= MaxAttempts)
     return refuse(request.Request.Id, code, "", now);
   if (!Retries.take()) {
     note(request, {NoteKind::RetryBudgetSpent, {}, {}, ""}, now);
     return refuse(request.Request.Id, code, "", now);
   }
   note(request, {NoteKind::Retried, {}, {}, ""}, now);
-  request.Waiting = code;
+  request.ExpiryCode = code;
   requeue(request);
 }
 
@@ -151,14 +152,14 @@
   const BatchId batch{++Counters.Batches};
   Running[connection] = {work, batch, pooled->Instance, now, steps.size()};
   Pool.setState(connection, ConnectionState::Busy, now);
-  Out.push_back(RunBatch{
+  PendingEffects.push_back(RunBatch{
       connection, std::visit(RequestOf(), work), {batch, std::move(steps)}});
 }
 
 void DatabaseContext::close(ConnectionId connection, TimePoint now) {
   Running.erase(connection);
   if (Pool.drop(connection, false, now))
-    Out.push_back(CloseConnection{connection});
+    PendingEffects.push_back(CloseConnection{connection});
 }
 
 void DatabaseContext::release(ConnectionId connection,
@@ -179,7 +180,7 @@
 DatabaseContext::connectionFor(const InstanceId &instance) const {
   if (!hasFreeSlot(instance))
     return std::nullopt;
-  return Pool.idle(instance);
+  return Pool.idleConnection(instance);
 }
 
 routing::Loads DatabaseContext::loads() const {
@@ -202,13 +203,13 @@
   return primary;
 }
 
-void DatabaseContext::noteServed(const InstanceId &instance, TimePoint sentAt,
-                                 TimePoint now) {
+void DatabaseContext::noteCompleted(const InstanceId &instance,
+                                    TimePoint sentAt, TimePoint now) {
   const auto time = now - sentAt;
   View.noteSuccess(instance);
   Queue.noteService(time);
-  auto &usual = ServiceTimes[instance];
-  usual += (time - usual) / ServiceWeight;
+  auto &average = ServiceTimes[instance];
+  average += (time - average) / ServiceTimeWeight;
   if (const auto it = Limits.find(instance); it != Limits.end())
     it->second.noteAnswer(time, Pool.inFlight(instance) + 1);
 }
--- a/src/request/internal/DatabaseContext.h
+++ b/src/request/internal/DatabaseContext.h
@@ -45,7 +45,7 @@
     std::variant<ObserveWork, ReadWork, WriteWork, TransactionWork, ResetWork>;
 
 struct RunningWork {
-  Work What;
+  Work Task;
   BatchId Batch;
   InstanceId Instance;
   TimePoint SentAt;
@@ -64,7 +64,7 @@
 public:
   DatabaseContext(const settings::DatabaseSettings &database,
                   const settings::Settings &common, ProcessCounters &counters,
-                  routing::Random &chance);
+                  routing::Random &random);
 
   /// \name Requests
   /// @{
@@ -102,7 +102,8 @@
   bool hasCapacity() const;
   /// The primary, if it has answered recently.
   std::optional<InstanceId> livePrimary(TimePoint now) const;
-  void noteServed(const InstanceId &instance, TimePoint sentAt, TimePoint now);
+  void noteCompleted(const InstanceId &instance, TimePoint sentAt,
+                     TimePoint now);
   /// @}
 
   bool fitsLimits(const ResultSet &result) const;
@@ -115,14 +116,14 @@
   admission::RetryBudget Retries;
   ConnectionPool Pool;
   ProcessCounters &Counters;
-  routing::Random &Chance;
+  routing::Random &Random;
   std::map<InstanceId, admission::ConcurrencyLimit> Limits;
   std::map<InstanceId, Duration> ServiceTimes;
   std::map<InstanceId, Duration> Distances;
   absl::flat_hash_map<RequestId, ActiveRequest> Requests;
   std::map<ConnectionId, RunningWork> Running;
-  Effects Out;
-  bool Stopping = false;
+  Effects PendingEffects;
+  bool IsStopping = false;
 };
 
 /// The result set of \p step, for the answer to the caller.
--- a/src/request/internal/DatabaseCoordinator.cpp
+++ b/src/request/internal/DatabaseCoordinator.cpp
@@ -29,13 +29,13 @@
 
 bool isInTransaction(const Call &call) { return !transactionOf(call).empty(); }
 
-WorkClass classOf(const CallerRequest &request, Duration usualMaxAge) {
+WorkClass classOf(const CallerRequest &request, Duration defaultMaxAge) {
   if (isInTransaction(request.Asked))
     return WorkClass::Transaction;
   const auto *read = std::get_if<ReadCall>(&request.Asked);
   if (read == nullptr)
     return WorkClass::Write;
-  const bool isCurrent = read->MaxAge.value_or(usualMaxAge).count() == 0;
+  const bool isCurrent = read->MaxAge.value_or(defaultMaxAge).count() == 0;
   const bool hasMarks = !request.Marks.of(request.Database).empty();
   return isCurrent || hasMarks ? WorkClass::SessionRead : WorkClass::Browse;
 }
@@ -45,13 +45,13 @@
 DatabaseCoordinator::DatabaseCoordinator(
     const settings::DatabaseSettings &database,
     const settings::Settings &common, ProcessCounters &counters,
-    routing::Random &chance)
-    : Context(database, common, counters, chance), Observing(Context),
+    routing::Random &random)
+    : Context(database, common, counters, random), Observing(Context),
       Replacing(Context, Observing), Reads(Context), Writes(Context),
       Transactions(Context, Writes) {}
 
 Effects DatabaseCoordinator::takeEffects() {
-  return std::exchange(Context.Out, {});
+  return std::exchange(Context.PendingEffects, {});
 }
 
 void DatabaseCoordinator::arrived(const CallerRequest &asked, TimePoint now) {
@@ -83,7 +83,7 @@
 bool DatabaseCoordinator::accept(ActiveRequest &request, TimePoint now) {
   const auto id = request.Request.Id;
   const auto &call = request.Request.Asked;
-  if (Context.Stopping && !isInTransaction(call)) {
+  if (Context.IsStopping && !isInTransaction(call)) {
     Context.refuse(id, ResultCode::Stopping, "", now);
     return false;
   }
@@ -112,7 +112,7 @@
   return Transactions.start(request, now);
 }
 
-void DatabaseCoordinator::pump(TimePoint now) {
+void DatabaseCoordinator::dispatchQueue(TimePoint now) {
   if (Context.Queue.size() == 0)
     return;
   for (const auto &it : Context.Queue.order()) {
@@ -131,11 +131,11 @@
 void DatabaseCoordinator::opened(ConnectionId connection, TimePoint now) {
   Context.Pool.opened(connection, now);
   const auto *pooled = Context.Pool.find(connection);
-  if (pooled != nullptr && pooled->Monitoring)
+  if (pooled != nullptr && pooled->IsMonitoring)
     Observing.opened(connection, now);
 }
 
-void DatabaseCoordinator::loseWork(const RunningWork &running, TimePoint now) {
+void DatabaseCoordinator::abortWork(const RunningWork &running, TimePoint now) {
   struct Visitor {
     DatabaseCoordinator &Self;
     const InstanceId &Instance;
@@ -152,7 +152,7 @@
     void operator()(const ObserveWork &) const {}
     void operator()(const ResetWork &) const {}
   };
-  std::visit(Visitor{*this, running.Instance, now}, running.What);
+  std::visit(Visitor{*this, running.Instance, now}, running.Task);
 }
 
 void DatabaseCoordinator::lost(ConnectionId connection, TimePoint now) {
@@ -161,50 +161,49 @@
     return;
   const bool failed = pooled->State == ConnectionState::Opening;
   const auto dropped = *Context.Pool.drop(connection, failed, now);
-  if (dropped.Monitoring)
+  if (dropped.IsMonitoring)
     Observing.lost(dropped.Instance);
   const auto it = Context.Running.find(connection);
   if (it == Context.Running.end())
     return Transactions.lostPinned(connection, now);
   const auto running = it->second;
   Context.Running.erase(it);
-  loseWork(running, now);
+  abortWork(running, now);
 }
 
-void DatabaseCoordinator::loseInstance(const InstanceId &instance,
-                                       TimePoint now) {
+void DatabaseCoordinator::disconnectInstance(const InstanceId &instance,
+                                             TimePoint now) {
   Context.View.noteFailure(instance);
-  for (const auto &it : Context.Pool.of(instance)) {
+  for (const auto &it : Context.Pool.connectionsTo(instance)) {
     if (Context.Pool.find(it.Id) != nullptr)
-      loseConnection(it.Id, now);
+      disconnect(it.Id, now);
   }
 }
 
-void DatabaseCoordinator::loseConnection(ConnectionId connection,
-                                         TimePoint now) {
-  Context.Out.push_back(CloseConnection{connection});
+void DatabaseCoordinator::disconnect(ConnectionId connection, TimePoint now) {
+  Context.PendingEffects.push_back(CloseConnection{connection});
   lost(connection, now);
 }
 
 // NOTE: Work on a replaced primary can't be acknowledged any more. Its outcome
 // is looked up at the new primary at once, instead of after the old one's
 // timeout.
-void DatabaseCoordinator::leaveReplacedPrimary(TimePoint now) {
+void DatabaseCoordinator::abortOnReplacedPrimary(TimePoint now) {
   const auto primary = Context.View.primary();
-  if (!primary || Context.View.term() == LeftBefore)
+  if (!primary || Context.View.term() == AbortedInTerm)
     return;
   if (Context.View.of(*primary).Last.LogTerm != Context.View.term())
     return;
-  LeftBefore = Context.View.term();
-  std::vector<ConnectionId> left;
+  AbortedInTerm = Context.View.term();
+  std::vector<ConnectionId> aborted;
   for (const auto &[connection, running] : Context.Running)
     if (running.Instance != *primary &&
-        (std::holds_alternative<WriteWork>(running.What) ||
-         std::holds_alternative<TransactionWork>(running.What)))
-      left.push_back(connection);
-  for (const auto &it : left)
+        (std::holds_alternative<WriteWork>(running.Task) ||
+         std::holds_alternative<TransactionWork>(running.Task)))
+      aborted.push_back(connection);
+  for (const auto &it : aborted)
     if (Context.Pool.find(it) != nullptr)
-      loseConnection(it, now);
+      disconnect(it, now);
 }
 
 void DatabaseCoordinator::finished(ConnectionId connection,
@@ -243,7 +242,7 @@
         Self.Context.close(Connection, Now);
     }
   };
-  std::visit(Visitor{*this, running, connection, result, now}, running.What);
+  std::visit(Visitor{*this, running, connection, result, now}, running.Task);
 }
 
 void DatabaseCoordinator::expireQueued(TimePoint now) {
@@ -256,7 +255,7 @@
       continue;
     }
     Context.note(*request, {NoteKind::DeadlinePassed, {}, {}, ""}, now);
-    Context.refuse(it.Id, request->Waiting, "", now);
+    Context.refuse(it.Id, request->ExpiryCode, "", now);
   }
 }
 
@@ -269,7 +268,7 @@
   for (const auto id : due) {
     auto &request = *Context.find(id);
     const auto &call = request.Request.Asked;
-    if (request.Now == Phase::AwaitingMajority ||
+    if (request.CurrentPhase == Phase::AwaitingMajority ||
         std::holds_alternative<WriteCall>(call))
       Writes.expire(request, now);
     else if (std::holds_alternative<ReadCall>(call))
@@ -286,7 +285,7 @@
         state.Seen && now - state.HeardAt <= Context.Common.Timing.Silence;
     if (!isLive)
       continue;
-    const auto all = Context.Pool.of(it.Id);
+    const auto all = Context.Pool.connectionsTo(it.Id);
     const auto pinned = std::count_if(
         all.begin(), all.end(), [](const PooledConnection &connection) {
           return connection.State == ConnectionState::Pinned;
@@ -294,38 +293,40 @@
     const auto target =
         Context.Pool.warmTarget(it.Id) + static_cast<int>(pinned);
     while (Context.Pool.count(it.Id, false) < target &&
-           Context.Pool.mayOpen(it.Id, false, now)) {
+           Context.Pool.canOpen(it.Id, false, now)) {
       const auto id = Context.Pool.startOpening(it.Id, false, now);
-      Context.Out.push_back(OpenConnection{id, Context.Database.Id, it.Id});
+      Context.PendingEffects.push_back(
+          OpenConnection{id, Context.Database.Id, it.Id});
     }
   }
 }
 
 // Whether answers wait for a majority, or a primary is being replaced.
-bool DatabaseCoordinator::isEager() const {
-  return Writes.hasWaiters() || Replacing.isEager();
+bool DatabaseCoordinator::needsFastPolling() const {
+  return Writes.isAwaitingMajority() || Replacing.needsFastPolling();
 }
 
 void DatabaseCoordinator::advance(TimePoint now) {
-  for (const auto &it : Observing.tick(isEager(), now))
-    loseInstance(it, now);
+  for (const auto &it : Observing.tick(needsFastPolling(), now))
+    disconnectInstance(it, now);
   Replacing.tick(now);
-  leaveReplacedPrimary(now);
-  Writes.settle(now);
+  abortOnReplacedPrimary(now);
+  Writes.resolveAwaiting(now);
   expireQueued(now);
   expireSent(now);
-  Transactions.endOverdue(now);
-  pump(now);
+  Transactions.abortExpired(now);
+  dispatchQueue(now);
   keepWarm(now);
 }
 
 std::optional<TimePoint> DatabaseCoordinator::nextWake(TimePoint now) const {
-  auto next = Observing.nextWake(isEager(), now);
-  if (const auto limit = Transactions.nextLimit())
+  auto next = Observing.nextWake(needsFastPolling(), now);
+  if (const auto limit = Transactions.nextExpiry())
     next = std::min(next, *limit);
   for (const auto &[id, it] : Context.Requests) {
     next = std::min(next, it.Request.Deadline);
-    if (it.Now == Phase::Queued || it.Now == Phase::AwaitingProbe)
+    if (it.CurrentPhase == Phase::Queued ||
+        it.CurrentPhase == Phase::AwaitingProbe)
       if (it.NotBefore > now)
         next = std::min(next, it.NotBefore);
   }
@@ -333,7 +334,7 @@
 }
 
 std::size_t DatabaseCoordinator::openWork() const {
-  return Context.Requests.size() + Transactions.open();
+  return Context.Requests.size() + Transactions.openCount();
 }
 
 bool DatabaseCoordinator::isServing(TimePoint now) const {
--- a/src/request/internal/DatabaseCoordinator.h
+++ b/src/request/internal/DatabaseCoordinator.h
@@ -22,19 +22,21 @@
 public:
   DatabaseCoordinator(const settings::DatabaseSettings &database,
                       const settings::Settings &common,
-                      ProcessCounters &counters, routing::Random &chance);
+                      ProcessCounters &counters, routing::Random &random);
 
   void arrived(const CallerRequest &request, TimePoint now);
   void opened(ConnectionId connection, TimePoint now);
   void lost(ConnectionId connection, TimePoint now);
   void finished(ConnectionId connection, const upstream::BatchResult &result,
                 TimePoint now);
-  void stop() { Context.Stopping = true; }
+  void stop() { Context.IsStopping = true; }
   void setLeaving(const InstanceId &instance, bool leaving, TimePoint now) {
     Context.View.setLeaving(instance, leaving, now);
   }
 
-  void peerSaid(const PeerOpinion &opinion) { Replacing.peerSaid(opinion); }
+  void receivePeerReport(const PeerOpinion &opinion) {
+    Replacing.receivePeerReport(opinion);
+  }
   bool isPrimarySilent(TimePoint now) const { return Replacing.isSilent(now); }
 
   /// Runs all due work; must be called after each event.
@@ -45,22 +47,22 @@
   bool isServing(TimePoint now) const;
 
 private:
-  bool isEager() const;
+  bool needsFastPolling() const;
   bool accept(ActiveRequest &request, TimePoint now);
   bool start(ActiveRequest &request, TimePoint now);
-  void pump(TimePoint now);
+  void dispatchQueue(TimePoint now);
   void expireQueued(TimePoint now);
   void expireSent(TimePoint now);
   void keepWarm(TimePoint now);
   /// Aborts writes and transactions that still run on a replaced primary.
-  void leaveReplacedPrimary(TimePoint now);
-  void loseConnection(ConnectionId connection, TimePoint now);
-  void loseInstance(const InstanceId &instance, TimePoint now);
-  void loseWork(const RunningWork &running, TimePoint now);
+  void abortOnReplacedPrimary(TimePoint now);
+  void disconnect(ConnectionId connection, TimePoint now);
+  void disconnectInstance(const InstanceId &instance, TimePoint now);
+  void abortWork(const RunningWork &running, TimePoint now);
 
   DatabaseContext Context;
   /// The newest term for which work on older primaries was aborted.
-  Term LeftBefore;
+  Term AbortedInTerm;
   ObserveFlow Observing;
   ReplacementFlow Replacing;
   ReadFlow Reads;
--- a/src/request/internal/ObserveFlow.cpp
+++ b/src/request/internal/ObserveFlow.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /// Poll interval while answers wait for a majority or a primary is replaced.
-constexpr Duration EagerSpacing = milliseconds(2);
+constexpr Duration FastPollInterval = milliseconds(2);
 /// Interval of attempts to open a monitoring connection.
-constexpr Duration OpenSpacing = milliseconds(50);
+constexpr Duration OpenRetryInterval = milliseconds(50);
 
 } // namespace
 
@@ -23,42 +23,43 @@
     Monitors[it.Id];
 }
 
-TimePoint ObserveFlow::nextAsk(const Monitor &monitor, bool eager) const {
-  return monitor.Since + (eager ? EagerSpacing : Context.Common.Timing.Observe);
+TimePoint ObserveFlow::nextPollAt(const Monitor &monitor, bool fast) const {
+  return monitor.Since +
+         (fast ? FastPollInterval : Context.Common.Timing.Observe);
 }
 
-std::vector<InstanceId> ObserveFlow::tick(bool eager, TimePoint now) {
+std::vector<InstanceId> ObserveFlow::tick(bool fast, TimePoint now) {
   std::vector<InstanceId> silent;
   for (auto &[instance, monitor] : Monitors) {
     if (!monitor.Connection) {
-      if (!Context.Pool.mayOpen(instance, true, now))
+      if (!Context.Pool.canOpen(instance, true, now))
         continue;
       monitor = {Context.Pool.startOpening(instance, true, now), true, now};
-      Context.Out.push_back(
+      Context.PendingEffects.push_back(
           OpenConnection{*monitor.Connection, Context.Database.Id, instance});
-    } else if (monitor.Waiting) {
+    } else if (monitor.IsPending) {
       if (now - monitor.Since >= Context.Common.Timing.Silence)
         silent.push_back(instance);
-    } else if (now >= nextAsk(monitor, eager)) {
-      ask(monitor, now);
+    } else if (now >= nextPollAt(monitor, fast)) {
+      poll(monitor, now);
     }
   }
   return silent;
 }
 
-void ObserveFlow::ask(Monitor &monitor, TimePoint now) {
-  monitor.Waiting = true;
+void ObserveFlow::poll(Monitor &monitor, TimePoint now) {
+  monitor.IsPending = true;
   monitor.Since = now;
   Context.send(*monitor.Connection, ObserveWork{},
                {{Context.Common.Dialect.Observe, {}, true}}, now);
 }
 
-void ObserveFlow::order(const InstanceId &instance, upstream::Step step,
-                        TimePoint now) {
+void ObserveFlow::sendOrder(const InstanceId &instance, upstream::Step step,
+                            TimePoint now) {
   auto &monitor = Monitors[instance];
-  if (!monitor.Connection || monitor.Waiting)
+  if (!monitor.Connection || monitor.IsPending)
     return;
-  monitor.Waiting = true;
+  monitor.IsPending = true;
   monitor.Since = now;
   // NOTE: The step is a transaction of its own, so that the poll is answered
   // even if the step fails.
@@ -71,14 +72,14 @@
 void ObserveFlow::opened(ConnectionId connection, TimePoint now) {
   for (auto &[instance, monitor] : Monitors)
     if (monitor.Connection == connection)
-      ask(monitor, now);
+      poll(monitor, now);
 }
 
 void ObserveFlow::finished(const RunningWork &running, ConnectionId connection,
                            const upstream::BatchResult &result, TimePoint now) {
   auto &monitor = Monitors[running.Instance];
   if (monitor.Connection == connection)
-    monitor.Waiting = false;
+    monitor.IsPending = false;
   if (!result.Steps.empty())
     if (const auto seen = readObservation(result.Steps.back())) {
       Context.View.observe(running.Instance, *seen, running.SentAt, now);
@@ -89,13 +90,13 @@
 
 void ObserveFlow::lost(const InstanceId &instance) { Monitors[instance] = {}; }
 
-TimePoint ObserveFlow::nextWake(bool eager, TimePoint now) const {
+TimePoint ObserveFlow::nextWake(bool fast, TimePoint now) const {
   auto next = now + Context.Common.Timing.Observe;
   for (const auto &[instance, monitor] : Monitors) {
-    auto wake = now + OpenSpacing;
+    auto wake = now + OpenRetryInterval;
     if (monitor.Connection)
-      wake = monitor.Waiting ? monitor.Since + Context.Common.Timing.Silence
-                             : nextAsk(monitor, eager);
+      wake = monitor.IsPending ? monitor.Since + Context.Common.Timing.Silence
+                               : nextPollAt(monitor, fast);
     next = std::min(next, wake);
   }
   return next;
--- a/src/request/internal/ObserveFlow.h
+++ b/src/request/internal/ObserveFlow.h
@@ -18,29 +18,30 @@
 public:
   explicit ObserveFlow(DatabaseContext &context);
 
-  /// Polls the instances that are due, at a shorter interval while \p eager.
+  /// Polls the instances that are due, at a shorter interval while \p fast.
   /// Returns the instances whose answer is overdue.
-  std::vector<InstanceId> tick(bool eager, TimePoint now);
+  std::vector<InstanceId> tick(bool fast, TimePoint now);
   void opened(ConnectionId connection, TimePoint now);
   /// Sends \p step to \p instance with an extra poll. While another poll is
   /// pending, the step is dropped, and the caller sends it again later.
-  void order(const InstanceId &instance, upstream::Step step, TimePoint now);
+  void sendOrder(const InstanceId &instance, upstream::Step step,
+                 TimePoint now);
   void finished(const RunningWork &running, ConnectionId connection,
                 const upstream::BatchResult &result, TimePoint now);
   /// Handles a monitoring connection that was lost or could not be opened.
   void lost(const InstanceId &instance);
-  TimePoint nextWake(bool eager, TimePoint now) const;
+  TimePoint nextWake(bool fast, TimePoint now) const;
 
 private:
   struct Monitor {
     std::optional<ConnectionId> Connection;
     /// A poll or the opening of the connection is pending.
-    bool Waiting = false;
+    bool IsPending = false;
     TimePoint Since;
   };
 
-  TimePoint nextAsk(const Monitor &monitor, bool eager) const;
-  void ask(Monitor &monitor, TimePoint now);
+  TimePoint nextPollAt(const Monitor &monitor, bool fast) const;
+  void poll(Monitor &monitor, TimePoint now);
 
   DatabaseContext &Context;
   std::map<InstanceId, Monitor> Monitors;
--- a/src/request/internal/ReadFlow.cpp
+++ b/src/request/internal/ReadFlow.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Delay before the same read tries an instance again whose proof failed.
-constexpr Duration TryAgainSpacing = milliseconds(10);
+constexpr Duration TriedInstanceDelay = milliseconds(10);
 
 /// Index of each step in a read's batch.
 enum ReadStep : std::size_t {
@@ -42,19 +42,19 @@
   const auto &call = std::get<ReadCall>(request.Request.Asked);
   return {request.Request.Marks.of(Context.Database.Id),
           call.MaxAge.value_or(Context.Database.ReadMaxAge),
-          request.Request.Deadline, request.Tried};
+          request.Request.Deadline, request.TriedInstances};
 }
 
 bool ReadFlow::start(ActiveRequest &request, TimePoint now) {
   auto decision = Context.Router.choose(needOf(request), Context.View,
-                                        Context.loads(), now, Context.Chance);
+                                        Context.loads(), now, Context.Random);
   const auto choice = decision.Choice;
   // NOTE: A waiting read is routed again and again; only a change of the
   // decision's kind is recorded.
   const auto *last = request.Record.Entries.empty()
                          ? nullptr
                          : std::get_if<routing::RouteDecision>(
-                               &request.Record.Entries.back().What);
+                               &request.Record.Entries.back().Content);
   if (last == nullptr || last->Choice.index() != choice.index())
     request.Record.Entries.push_back(
         {now - request.ArrivedAt, std::move(decision)});
@@ -72,26 +72,26 @@
   else if (const auto *change = std::get_if<routing::WaitForChange>(&choice))
     waitForChange(request, change->Why, now);
   else
-    request.Waiting = ResultCode::DeadlinePassed;
+    request.ExpiryCode = ResultCode::DeadlinePassed;
   return false;
 }
 
 // Instances that were tried in vain may meet the need after the delay.
 void ReadFlow::waitForChange(ActiveRequest &request, ResultCode why,
                              TimePoint now) {
-  request.Waiting = why;
-  if (request.Tried.empty())
+  request.ExpiryCode = why;
+  if (request.TriedInstances.empty())
     return;
-  request.Tried.clear();
-  request.NotBefore = now + TryAgainSpacing;
+  request.TriedInstances.clear();
+  request.NotBefore = now + TriedInstanceDelay;
 }
 
 void ReadFlow::sendTo(ActiveRequest &request, const InstanceId &instance,
                       TimePoint now) {
   const auto connection = Context.connectionFor(instance);
   const auto &query = std::get<ReadCall>(request.Request.Asked).Query;
-  request.Now = Phase::Reading;
-  request.On = *connection;
+  request.CurrentPhase = Phase::Reading;
+  request.Connection = *connection;
   Context.send(*connection, ReadWork{request.Request.Id},
                {{"BEGIN READ ONLY", {}, false},
                 {Context.Common.Dialect.Observe, {}, false},
@@ -104,7 +104,7 @@
                         ConnectionId connection,
                         const upstream::BatchResult &result, TimePoint now) {
   Context.release(connection, result.After, now);
-  Context.noteServed(running.Instance, running.SentAt, now);
+  Context.noteCompleted(running.Instance, running.SentAt, now);
   std::optional<routing::Observation> seen;
   if (result.Steps.size() == ReadSteps)
     seen = readObservation(result.Steps[ObserveStep]);
@@ -115,15 +115,15 @@
     return;
   if (!seen) {
     Context.View.noteFailure(running.Instance);
-    request->Tried.insert(running.Instance);
+    request->TriedInstances.insert(running.Instance);
     return Context.retryOrRefuse(*request, ResultCode::UpstreamLost, now);
   }
-  judge(*request, running.Instance, *seen, result.Steps[QueryStep], now);
+  checkProof(*request, running.Instance, *seen, result.Steps[QueryStep], now);
 }
 
-void ReadFlow::judge(ActiveRequest &request, const InstanceId &instance,
-                     const routing::Observation &seen,
-                     const upstream::StepResult &step, TimePoint now) {
+void ReadFlow::checkProof(ActiveRequest &request, const InstanceId &instance,
+                          const routing::Observation &seen,
+                          const upstream::StepResult &step, TimePoint now) {
   const auto proof =
       Context.Router.prove(needOf(request), Context.View, seen, now);
   if (proof == routing::Proof::Holds)
@@ -132,7 +132,7 @@
                now);
   if (proof == routing::Proof::HistoryLost)
     return Context.refuse(request.Request.Id, ResultCode::HistoryLost, "", now);
-  request.Tried.insert(instance);
+  request.TriedInstances.insert(instance);
   Context.retryOrRefuse(request, ResultCode::NoInstanceFreshEnough, now);
 }
 
@@ -170,7 +170,7 @@
   auto *request = Context.noteLost(work.Request, instance, now);
   if (request == nullptr)
     return;
-  request->Tried.insert(instance);
+  request->TriedInstances.insert(instance);
   Context.retryOrRefuse(*request, ResultCode::UpstreamLost, now);
 }
 
--- a/src/request/internal/ReadFlow.h
+++ b/src/request/internal/ReadFlow.h
@@ -27,9 +27,9 @@
   void waitForChange(ActiveRequest &request, ResultCode why, TimePoint now);
   void sendTo(ActiveRequest &request, const InstanceId &instance,
               TimePoint now);
-  void judge(ActiveRequest &request, const InstanceId &instance,
-             const routing::Observation &seen, const upstream::StepResult &step,
-             TimePoint now);
+  void checkProof(ActiveRequest &request, const InstanceId &instance,
+                  const routing::Observation &seen,
+                  const upstream::StepResult &step, TimePoint now);
   std::optional<Duration> ageOf(const routing::Observation &seen,
                                 TimePoint now) const;
   void answer(ActiveRequest &request, const InstanceId &instance,
--- a/src/request/internal/ReplacementFlow.cpp
+++ b/src/request/internal/ReplacementFlow.cpp
@@ -47,53 +47,54 @@
   const auto before = Driver.stage();
   const auto orders = Driver.tick(Context.View, now);
   if (Driver.stage() != before)
-    note(before, now);
+    recordStage(before, now);
   for (const auto &it : orders)
-    std::visit([this, now](const auto &order) { give(order, now); }, it);
+    std::visit([this, now](const auto &order) { sendOrder(order, now); }, it);
 }
 
-void ReplacementFlow::peerSaid(const PeerOpinion &opinion) {
+void ReplacementFlow::receivePeerReport(const PeerOpinion &opinion) {
   Driver.peerSaid(opinion.Peer, opinion.Current, opinion.IsSilent);
 }
 
-void ReplacementFlow::give(const failover::FenceInstance &order,
-                           TimePoint now) {
-  Observing.order(
+void ReplacementFlow::sendOrder(const failover::FenceInstance &order,
+                                TimePoint now) {
+  Observing.sendOrder(
       order.Instance,
       {Context.Common.Dialect.Fence, {std::to_string(order.Next.Number)}, true},
       now);
 }
 
-void ReplacementFlow::give(const failover::PromoteInstance &order,
-                           TimePoint now) {
-  Observing.order(order.Instance,
-                  {Context.Common.Dialect.Promote,
-                   {std::to_string(order.Next.Number)},
-                   true},
-                  now);
+void ReplacementFlow::sendOrder(const failover::PromoteInstance &order,
+                                TimePoint now) {
+  Observing.sendOrder(order.Instance,
+                      {Context.Common.Dialect.Promote,
+                       {std::to_string(order.Next.Number)},
+                       true},
+                      now);
 }
 
-void ReplacementFlow::give(const failover::FollowPrimary &order,
-                           TimePoint now) {
+void ReplacementFlow::sendOrder(const failover::FollowPrimary &order,
+                                TimePoint now) {
   for (const auto &it : Context.Database.Instances)
     if (it.Id == order.Primary)
-      Observing.order(order.Instance,
-                      {Context.Common.Dialect.Follow,
-                       {it.Address.Address, std::to_string(it.Address.Port),
-                        std::to_string(order.Current.Number)},
-                       true},
-                      now);
+      Observing.sendOrder(order.Instance,
+                          {Context.Common.Dialect.Follow,
+                           {it.Address.Address, std::to_string(it.Address.Port),
+                            std::to_string(order.Current.Number)},
+                           true},
+                          now);
 }
 
-void ReplacementFlow::give(const failover::AskPeers &order, TimePoint) {
-  Context.Out.push_back(AskOtherHalls{Context.Database.Id, order.Current});
+void ReplacementFlow::sendOrder(const failover::AskPeers &order, TimePoint) {
+  Context.PendingEffects.push_back(
+      AskOtherHalls{Context.Database.Id, order.Current});
 }
 
 // A replacement has a decision record as requests do, so it can be queried.
-void ReplacementFlow::note(ReplacementStage before, TimePoint now) {
+void ReplacementFlow::recordStage(ReplacementStage before, TimePoint now) {
   const auto stage = Driver.stage();
   if (before == ReplacementStage::Watching) {
-    BegunAt = now;
+    StartedAt = now;
     Record = {};
     Record.Id = DecisionId(absl::StrCat(Context.Common.Vm.str(), "-",
                                         ++Context.Counters.Decisions));
@@ -106,20 +107,20 @@
   else if (stage == ReplacementStage::Fencing)
     entry.Kind = NoteKind::FencingMajority;
   else if (stage == ReplacementStage::Promoting)
-    entry.Kind = NoteKind::PromotingFurthest;
+    entry.Kind = NoteKind::PromotingMostAdvanced;
   else
     entry.Kind = NoteKind::ReplacementEnded;
   if (const auto primary = Context.View.primary())
     entry.Instance = *primary;
-  entry.At = {Context.View.term(), {}};
-  Record.Entries.push_back({now - BegunAt, entry});
+  entry.AtMark = {Context.View.term(), {}};
+  Record.Entries.push_back({now - StartedAt, entry});
   if (stage != ReplacementStage::Watching)
     return;
-  Record.Took = now - BegunAt;
+  Record.TotalTime = now - StartedAt;
   const bool isDone = before == ReplacementStage::Promoting &&
                       Context.View.primary().has_value();
   Record.Outcome = isDone ? ResultCode::Done : ResultCode::ReplacementGivenUp;
-  Context.Out.push_back(RecordDecision{std::exchange(Record, {})});
+  Context.PendingEffects.push_back(RecordDecision{std::exchange(Record, {})});
 }
 
 } // namespace stepledge::request
--- a/src/request/internal/ReplacementFlow.h
+++ b/src/request/internal/ReplacementFlow.h
@@ -18,24 +18,24 @@
   ReplacementFlow(DatabaseContext &context, ObserveFlow &observing);
 
   void tick(TimePoint now);
-  void peerSaid(const PeerOpinion &opinion);
+  void receivePeerReport(const PeerOpinion &opinion);
   bool isSilent(TimePoint now) const {
     return Driver.isSilent(Context.View, now);
   }
-  bool isEager() const { return Driver.isEager(); }
+  bool needsFastPolling() const { return Driver.isEager(); }
 
 private:
-  void give(const failover::FenceInstance &order, TimePoint now);
-  void give(const failover::PromoteInstance &order, TimePoint now);
-  void give(const failover::FollowPrimary &order, TimePoint now);
-  void give(const failover::AskPeers &order, TimePoint now);
-  void note(failover::ReplacementStage before, TimePoint now);
+  void sendOrder(const failover::FenceInstance &order, TimePoint now);
+  void sendOrder(const failover::PromoteInstance &order, TimePoint now);
+  void sendOrder(const failover::FollowPrimary &order, TimePoint now);
+  void sendOrder(const failover::AskPeers &order, TimePoint now);
+  void recordStage(failover::ReplacementStage before, TimePoint now);
 
   DatabaseContext &Context;
   ObserveFlow &Observing;
   failover::ReplacementDriver Driver;
   DecisionRecord Record;
-  TimePoint BegunAt;
+  TimePoint StartedAt;
 };
 
 } // namespace stepledge::request
--- a/src/request/internal/RequestCoordinator.cpp
+++ b/src/request/internal/RequestCoordinator.cpp
@@ -12,13 +12,14 @@
 
 RequestCoordinator::RequestCoordinator(const settings::Settings &settings,
                                        std::uint64_t seed, TimePoint now)
-    : Config(settings), Chance(seed), LastNow(now) {
+    : Config(settings), Random(seed), LastNow(now) {
   for (const auto &it : Config.Databases)
     Databases[it.Id] =
-        std::make_unique<DatabaseCoordinator>(it, Config, Counters, Chance);
+        std::make_unique<DatabaseCoordinator>(it, Config, Counters, Random);
 }
 
-DatabaseCoordinator *RequestCoordinator::byConnection(ConnectionId connection) {
+DatabaseCoordinator *
+RequestCoordinator::findByConnection(ConnectionId connection) {
   const auto it = Connections.find(connection);
   return it == Connections.end() ? nullptr : it->second;
 }
@@ -44,8 +45,8 @@
   out.push_back(RecordDecision{std::move(record)});
 }
 
-void RequestCoordinator::collect(DatabaseCoordinator &database, TimePoint now,
-                                 Effects &out) {
+void RequestCoordinator::collectEffects(DatabaseCoordinator &database,
+                                        TimePoint now, Effects &out) {
   database.advance(now);
   auto effects = database.takeEffects();
   for (const auto &it : effects) {
@@ -68,38 +69,38 @@
       if (found == Self.Databases.end())
         return Self.refuseUnknown(it.Request, Out);
       found->second->arrived(it.Request, Now);
-      Self.collect(*found->second, Now, Out);
+      Self.collectEffects(*found->second, Now, Out);
     }
     void operator()(const ConnectionOpened &it) const {
-      auto *database = Self.byConnection(it.Connection);
+      auto *database = Self.findByConnection(it.Connection);
       if (database == nullptr)
         return;
       database->opened(it.Connection, Now);
-      Self.collect(*database, Now, Out);
+      Self.collectEffects(*database, Now, Out);
     }
     void operator()(const ConnectionLost &it) const {
-      auto *database = Self.byConnection(it.Connection);
+      auto *database = Self.findByConnection(it.Connection);
       if (database == nullptr)
         return;
       Self.Connections.erase(it.Connection);
       database->lost(it.Connection, Now);
-      Self.collect(*database, Now, Out);
+      Self.collectEffects(*database, Now, Out);
     }
     void operator()(const BatchFinished &it) const {
-      auto *database = Self.byConnection(it.Connection);
+      auto *database = Self.findByConnection(it.Connection);
       if (database == nullptr)
         return;
       database->finished(it.Connection, it.Result, Now);
-      Self.collect(*database, Now, Out);
+      Self.collectEffects(*database, Now, Out);
     }
     void operator()(const TimePassed &) const {
       for (auto &[id, database] : Self.Databases)
-        Self.collect(*database, Now, Out);
+        Self.collectEffects(*database, Now, Out);
     }
     void operator()(const StopRequested &) const {
       for (auto &[id, database] : Self.Databases) {
         database->stop();
-        Self.collect(*database, Now, Out);
+        Self.collectEffects(*database, Now, Out);
       }
     }
     void operator()(const InstanceLeaving &it) const {
@@ -107,14 +108,14 @@
       if (found == Self.Databases.end())
         return;
       found->second->setLeaving(it.Instance, it.Leaving, Now);
-      Self.collect(*found->second, Now, Out);
+      Self.collectEffects(*found->second, Now, Out);
     }
     void operator()(const PeerOpinion &it) const {
       const auto found = Self.Databases.find(it.Database);
       if (found == Self.Databases.end())
         return;
-      found->second->peerSaid(it);
-      Self.collect(*found->second, Now, Out);
+      found->second->receivePeerReport(it);
+      Self.collectEffects(*found->second, Now, Out);
     }
   };
   LastNow = now;
--- a/src/request/internal/RequestCoordinator.h
+++ b/src/request/internal/RequestCoordinator.h
@@ -28,12 +28,13 @@
   bool isServing(TimePoint now) const override;
 
 private:
-  DatabaseCoordinator *byConnection(ConnectionId connection);
+  DatabaseCoordinator *findByConnection(ConnectionId connection);
   void refuseUnknown(const CallerRequest &request, Effects &out);
-  void collect(DatabaseCoordinator &database, TimePoint now, Effects &out);
+  void collectEffects(DatabaseCoordinator &database, TimePoint now,
+                      Effects &out);
 
   const settings::Settings Config;
-  routing::Random Chance;
+  routing::Random Random;
   ProcessCounters Counters;
   std::map<DatabaseId, std::unique_ptr<DatabaseCoordinator>> Databases;
   std::map<ConnectionId, DatabaseCoordinator *> Connections;
--- a/src/request/internal/SqlGuard.cpp
+++ b/src/request/internal/SqlGuard.cpp
@@ -23,7 +23,7 @@
 
 /// Drops leading blanks, ";", "(" and comments; false for a comment that is
 /// nested or never ends.
-bool dropBlank(std::string_view &sql) {
+bool skipBlanks(std::string_view &sql) {
   for (;;) {
     while (!sql.empty() &&
            (absl::ascii_isspace(static_cast<unsigned char>(sql.front())) ||
@@ -50,7 +50,7 @@
 } // namespace
 
 bool isForbidden(std::string_view sql) {
-  if (!dropBlank(sql))
+  if (!skipBlanks(sql))
     return true;
   std::string word;
   for (const char c : sql) {
--- a/src/request/internal/TransactionFlow.cpp
+++ b/src/request/internal/TransactionFlow.cpp
@@ -31,7 +31,7 @@
   return TransactionId(
       absl::StrCat(Context.Common.Vm.str(), ".", Context.Database.Id.str(), ".",
                    ++Context.Counters.Transactions, ".",
-                   absl::StrFormat("%016x", Context.Chance())));
+                   absl::StrFormat("%016x", Context.Random())));
 }
 
 bool TransactionFlow::accept(ActiveRequest &request, TimePoint now) {
@@ -43,16 +43,16 @@
     return false;
   }
   if (const auto *statement = std::get_if<StatementCall>(&call))
-    return acceptTurn(request, statement->Transaction, statement->Sequence,
+    return acceptStep(request, statement->Transaction, statement->Sequence,
                       now);
   if (const auto *commit = std::get_if<CommitCall>(&call))
-    return acceptTurn(request, commit->Transaction, commit->Sequence, now);
+    return acceptStep(request, commit->Transaction, commit->Sequence, now);
   const auto &id = std::get<RollbackCall>(call).Transaction;
   const auto *open = Table.find(id).second;
-  return acceptTurn(request, id, open == nullptr ? 0 : open->NextSequence, now);
+  return acceptStep(request, id, open == nullptr ? 0 : open->NextSequence, now);
 }
 
-bool TransactionFlow::acceptTurn(ActiveRequest &request,
+bool TransactionFlow::acceptStep(ActiveRequest &request,
                                  const TransactionId &id,
                                  std::uint32_t sequence, TimePoint now) {
   auto *transaction = Table.find(id).second;
@@ -61,15 +61,15 @@
     return false;
   };
   if (transaction == nullptr)
-    return refuse(Table.whyClosed(id), "");
+    return refuse(Table.closeReason(id), "");
   if (sequence != transaction->NextSequence)
     return refuse(ResultCode::TransactionSequence,
                   absl::StrCat("the next one is ", transaction->NextSequence));
-  if (transaction->Now != TransactionPhase::Ready)
+  if (transaction->CurrentPhase != TransactionPhase::Ready)
     return refuse(ResultCode::TransactionBusy, "");
-  transaction->Now = TransactionPhase::Running;
+  transaction->CurrentPhase = TransactionPhase::Running;
   transaction->Request = request.Request.Id;
-  transaction->UsedAt = now;
+  transaction->LastUsedAt = now;
   ++transaction->NextSequence;
   return true;
 }
@@ -84,28 +84,28 @@
     return true;
   }
   const TransactionWork work{number, request.Request.Id};
-  request.On = transaction->Connection;
+  request.Connection = transaction->Connection;
   if (std::holds_alternative<RollbackCall>(call)) {
-    request.Now = Phase::RollingBack;
-    Context.send(request.On, work, {{"ROLLBACK", {}, true}}, now);
+    request.CurrentPhase = Phase::RollingBack;
+    Context.send(request.Connection, work, {{"ROLLBACK", {}, true}}, now);
     return true;
   }
   if (!Context.hasFreeSlot(transaction->Instance))
     return false;
   if (const auto *statement = std::get_if<StatementCall>(&call)) {
-    request.Now = Phase::InTransaction;
-    Context.send(request.On, work,
+    request.CurrentPhase = Phase::InTransaction;
+    Context.send(request.Connection, work,
                  {{statement->Change.Sql, statement->Change.Parameters, true}},
                  now);
     return true;
   }
   const auto &observe = Context.Common.Dialect.Observe;
-  request.Now = Phase::CommittingTransaction;
-  transaction->Now = TransactionPhase::Committing;
+  request.CurrentPhase = Phase::CommittingTransaction;
+  transaction->CurrentPhase = TransactionPhase::Committing;
   Context.note(request, {NoteKind::CommitSent, transaction->Instance, {}, ""},
                now);
   Context.send(
-      request.On, work,
+      request.Connection, work,
       {{observe, {}, false}, {"COMMIT", {}, true}, {observe, {}, true}}, now);
   return true;
 }
@@ -116,7 +116,7 @@
     return false;
   const auto connection = Context.connectionFor(*primary);
   if (!connection) {
-    request.Waiting = ResultCode::DeadlinePassed;
+    request.ExpiryCode = ResultCode::DeadlinePassed;
     return false;
   }
   OpenTransaction transaction;
@@ -124,11 +124,11 @@
   transaction.Connection = *connection;
   transaction.Instance = *primary;
   transaction.Request = request.Request.Id;
-  transaction.OpenedAt = transaction.UsedAt = now;
+  transaction.OpenedAt = transaction.LastUsedAt = now;
   const auto number =
       Table.open(Context.Counters.Transactions, std::move(transaction));
-  request.Now = Phase::Beginning;
-  request.On = *connection;
+  request.CurrentPhase = Phase::Beginning;
+  request.Connection = *connection;
   Context.note(request, {NoteKind::Sent, *primary, {}, ""}, now);
   Context.send(
       *connection, TransactionWork{number, request.Request.Id},
@@ -141,24 +141,24 @@
                                ConnectionId connection,
                                const upstream::BatchResult &result,
                                TimePoint now) {
-  Context.noteServed(running.Instance, running.SentAt, now);
+  Context.noteCompleted(running.Instance, running.SentAt, now);
   auto *request = Context.find(work.Request);
   auto *transaction = Table.find(work.Transaction);
   if (transaction == nullptr)
     return Context.release(connection, result.After, now);
   if (result.Steps.size() != running.Steps)
-    return abandon(work.Transaction, ResultCode::TransactionLost, now);
-  if (transaction->Now == TransactionPhase::Beginning)
-    return begun(request, work.Transaction, running, result, now);
-  if (transaction->Now == TransactionPhase::Committing)
+    return abort(work.Transaction, ResultCode::TransactionLost, now);
+  if (transaction->CurrentPhase == TransactionPhase::Beginning)
+    return beginDone(request, work.Transaction, running, result, now);
+  if (transaction->CurrentPhase == TransactionPhase::Committing)
     return commitDone(request, work.Transaction, running, result, now);
   stepDone(request, work.Transaction, result, now);
 }
 
-void TransactionFlow::begun(ActiveRequest *request, std::uint64_t number,
-                            const RunningWork &running,
-                            const upstream::BatchResult &result,
-                            TimePoint now) {
+void TransactionFlow::beginDone(ActiveRequest *request, std::uint64_t number,
+                                const RunningWork &running,
+                                const upstream::BatchResult &result,
+                                TimePoint now) {
   auto &transaction = *Table.find(number);
   const auto seen = readObservation(result.Steps[BeginObserve]);
   if (seen)
@@ -172,9 +172,9 @@
       Context.retryOrRefuse(*request, ResultCode::NoPrimary, now);
     return;
   }
-  transaction.Now = TransactionPhase::Ready;
-  transaction.BegunIn = seen->Promised;
-  transaction.UsedAt = now;
+  transaction.CurrentPhase = TransactionPhase::Ready;
+  transaction.BeganInTerm = seen->Promised;
+  transaction.LastUsedAt = now;
   Context.Pool.setState(transaction.Connection, ConnectionState::Pinned, now);
   CallerAnswer answer;
   answer.Transaction = transaction.Id;
@@ -188,7 +188,7 @@
   auto &transaction = *Table.find(number);
   const auto &step = result.Steps.front();
   const bool isRollback =
-      request != nullptr && request->Now == Phase::RollingBack;
+      request != nullptr && request->CurrentPhase == Phase::RollingBack;
   const bool isOpen = result.After == TransactionState::Open;
   CallerAnswer answer;
   answer.Result = resultOf(step);
@@ -198,8 +198,8 @@
                       request != nullptr && !isRollback &&
                       Context.fitsLimits(answer.Result);
   if (isKept) {
-    transaction.Now = TransactionPhase::Ready;
-    transaction.UsedAt = now;
+    transaction.CurrentPhase = TransactionPhase::Ready;
+    transaction.LastUsedAt = now;
     Context.Pool.setState(transaction.Connection, ConnectionState::Pinned, now);
     return Context.finish(request->Request.Id, std::move(answer), now);
   }
@@ -241,34 +241,34 @@
     return Context.refuse(id, ResultCode::TransactionRolledBack,
                           absl::StrCat(commit.SqlState, ": ", commit.Message),
                           now);
-  const bool isSteady = before && after &&
-                        after->Role == routing::InstanceRole::Primary &&
-                        after->Promised == transaction.BegunIn;
-  if (!isSteady)
+  const bool isSamePrimary = before && after &&
+                             after->Role == routing::InstanceRole::Primary &&
+                             after->Promised == transaction.BeganInTerm;
+  if (!isSamePrimary)
     return Context.refuse(id, ResultCode::ReplacedWhileWriting, "", now);
   CallerAnswer answer;
   answer.AnsweredBy = transaction.Instance;
-  request->AtLeast = firstAfter(*before);
+  request->LowestMark = firstMarkAfter(*before);
   Writes.awaitMajority(*request, after->appliedMark(), std::move(answer), now);
 }
 
-void TransactionFlow::abandon(std::uint64_t number, ResultCode reason,
-                              TimePoint now) {
+void TransactionFlow::abort(std::uint64_t number, ResultCode reason,
+                            TimePoint now) {
   const auto *found = Table.find(number);
   if (found == nullptr)
     return;
   const auto transaction = *found;
   Context.close(transaction.Connection, now);
   Table.close(number, reason);
-  if (transaction.Now == TransactionPhase::Ready)
+  if (transaction.CurrentPhase == TransactionPhase::Ready)
     return;
   auto *request = Context.find(transaction.Request);
   if (request == nullptr)
     return;
   Context.Queue.remove(transaction.Request);
-  if (transaction.Now == TransactionPhase::Beginning)
+  if (transaction.CurrentPhase == TransactionPhase::Beginning)
     return Context.retryOrRefuse(*request, reason, now);
-  const bool isOpen = transaction.Now == TransactionPhase::Committing;
+  const bool isOpen = transaction.CurrentPhase == TransactionPhase::Committing;
   Context.refuse(transaction.Request,
                  isOpen ? ResultCode::WriteOutcomeUnknown : reason, "", now);
 }
@@ -276,13 +276,13 @@
 void TransactionFlow::lost(const TransactionWork &work,
                            const InstanceId &instance, TimePoint now) {
   Context.View.noteFailure(instance);
-  abandon(work.Transaction, ResultCode::TransactionLost, now);
+  abort(work.Transaction, ResultCode::TransactionLost, now);
 }
 
 void TransactionFlow::lostPinned(ConnectionId connection, TimePoint now) {
   for (const auto number : Table.numbers())
     if (Table.find(number)->Connection == connection)
-      abandon(number, ResultCode::TransactionLost, now);
+      abort(number, ResultCode::TransactionLost, now);
 }
 
 void TransactionFlow::expire(ActiveRequest &request, TimePoint now) {
@@ -290,34 +290,35 @@
   Context.note(request, {NoteKind::DeadlinePassed, {}, {}, ""}, now);
   for (const auto number : Table.numbers())
     if (Table.find(number)->Request == id &&
-        Table.find(number)->Now != TransactionPhase::Ready)
-      abandon(number, ResultCode::TransactionRolledBack, now);
+        Table.find(number)->CurrentPhase != TransactionPhase::Ready)
+      abort(number, ResultCode::TransactionRolledBack, now);
   if (Context.find(id) != nullptr)
     Context.refuse(id, ResultCode::DeadlinePassed, "", now);
 }
 
-void TransactionFlow::endOverdue(TimePoint now) {
+void TransactionFlow::abortExpired(TimePoint now) {
   const auto &timing = Context.Common.Timing;
   for (const auto number : Table.numbers()) {
     const auto &it = *Table.find(number);
-    if (it.Now == TransactionPhase::Committing)
+    if (it.CurrentPhase == TransactionPhase::Committing)
       continue;
     if (now - it.OpenedAt >= timing.TransactionTotal)
-      abandon(number, ResultCode::TransactionTooLong, now);
-    else if (it.Now == TransactionPhase::Ready &&
-             now - it.UsedAt >= timing.TransactionIdle)
-      abandon(number, ResultCode::TransactionIdle, now);
+      abort(number, ResultCode::TransactionTooLong, now);
+    else if (it.CurrentPhase == TransactionPhase::Ready &&
+             now - it.LastUsedAt >= timing.TransactionIdle)
+      abort(number, ResultCode::TransactionIdle, now);
   }
 }
 
-std::optional<TimePoint> TransactionFlow::nextLimit() const {
+std::optional<TimePoint> TransactionFlow::nextExpiry() const {
   std::optional<TimePoint> next;
   const auto &timing = Context.Common.Timing;
   for (const auto &[number, it] : Table.all()) {
     auto limit = it.OpenedAt + timing.TransactionTotal;
-    if (it.Now == TransactionPhase::Ready)
-      limit = std::min(limit, it.UsedAt + timing.TransactionIdle);
-    if (it.Now != TransactionPhase::Committing && (!next || limit < *next))
+    if (it.CurrentPhase == TransactionPhase::Ready)
+      limit = std::min(limit, it.LastUsedAt + timing.TransactionIdle);
+    if (it.CurrentPhase != TransactionPhase::Committing &&
+        (!next || limit < *next))
       next = limit;
   }
   return next;
--- a/src/request/internal/TransactionFlow.h
+++ b/src/request/internal/TransactionFlow.h
@@ -32,24 +32,24 @@
   /// Handles the deadline of a request that was sent or waits for a slot.
   void expire(ActiveRequest &request, TimePoint now);
   /// Rolls back transactions that have been idle or open for too long.
-  void endOverdue(TimePoint now);
-  std::optional<TimePoint> nextLimit() const;
-  std::size_t open() const { return Table.size(); }
+  void abortExpired(TimePoint now);
+  std::optional<TimePoint> nextExpiry() const;
+  std::size_t openCount() const { return Table.size(); }
 
 private:
   bool startBegin(ActiveRequest &request, TimePoint now);
-  bool acceptTurn(ActiveRequest &request, const TransactionId &id,
+  bool acceptStep(ActiveRequest &request, const TransactionId &id,
                   std::uint32_t sequence, TimePoint now);
-  void begun(ActiveRequest *request, std::uint64_t number,
-             const RunningWork &running, const upstream::BatchResult &result,
-             TimePoint now);
+  void beginDone(ActiveRequest *request, std::uint64_t number,
+                 const RunningWork &running,
+                 const upstream::BatchResult &result, TimePoint now);
   void stepDone(ActiveRequest *request, std::uint64_t number,
                 const upstream::BatchResult &result, TimePoint now);
   void commitDone(ActiveRequest *request, std::uint64_t number,
                   const RunningWork &running,
                   const upstream::BatchResult &result, TimePoint now);
   /// Removes the transaction and closes its connection, which rolls it back.
-  void abandon(std::uint64_t number, ResultCode reason, TimePoint now);
+  void abort(std::uint64_t number, ResultCode reason, TimePoint now);
   TransactionId newId();
 
   DatabaseContext &Context;
--- a/src/request/internal/TransactionTable.cpp
+++ b/src/request/internal/TransactionTable.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t ClosedKept = 1024;
+constexpr std::size_t MaxClosedKept = 1024;
 
 } // namespace
 
@@ -41,13 +41,13 @@
   Closed[it->second.Id] = reason;
   ClosedOrder.push_back(it->second.Id);
   Open.erase(it);
-  if (ClosedOrder.size() <= ClosedKept)
+  if (ClosedOrder.size() <= MaxClosedKept)
     return;
   Closed.erase(ClosedOrder.front());
   ClosedOrder.pop_front();
 }
 
-ResultCode TransactionTable::whyClosed(const TransactionId &id) const {
+ResultCode TransactionTable::closeReason(const TransactionId &id) const {
   const auto it = Closed.find(id);
   return it == Closed.end() ? ResultCode::TransactionUnknown : it->second;
 }
--- a/src/request/internal/TransactionTable.h
+++ b/src/request/internal/TransactionTable.h
@@ -34,13 +34,13 @@
   TransactionId Id;
   ConnectionId Connection;
   InstanceId Instance;
-  Term BegunIn;
-  TransactionPhase Now = TransactionPhase::Beginning;
+  Term BeganInTerm;
+  TransactionPhase CurrentPhase = TransactionPhase::Beginning;
   std::uint32_t NextSequence = 1;
   /// The request that runs or waits to run.
   RequestId Request;
   TimePoint OpenedAt;
-  TimePoint UsedAt;
+  TimePoint LastUsedAt;
 };
 
 class TransactionTable {
@@ -52,7 +52,7 @@
   void close(std::uint64_t number, ResultCode reason);
   /// Why a transaction was closed; TransactionUnknown if it was never open or
   /// its reason is no longer kept.
-  ResultCode whyClosed(const TransactionId &id) const;
+  ResultCode closeReason(const TransactionId &id) const;
   std::size_t size() const { return Open.size(); }
   std::vector<std::uint64_t> numbers() const;
   const std::map<std::uint64_t, OpenTransaction> &all() const { return Open; }
--- a/src/request/internal/WriteAcknowledgement.cpp
+++ b/src/request/internal/WriteAcknowledgement.cpp
@@ -24,50 +24,54 @@
   using settings::AcknowledgeMode;
   if (Context.Database.Acknowledge == AcknowledgeMode::Primary)
     return Context.finish(id, std::move(answer), now);
-  request.Now = Phase::AwaitingMajority;
-  request.Awaited = mark;
-  request.Pending = std::move(answer);
+  request.CurrentPhase = Phase::AwaitingMajority;
+  request.AwaitedMark = mark;
+  request.PendingAnswer = std::move(answer);
   Context.note(
       request,
-      {NoteKind::AwaitingMajority, request.Pending.AnsweredBy, mark, ""}, now);
+      {NoteKind::AwaitingMajority, request.PendingAnswer.AnsweredBy, mark, ""},
+      now);
 }
 
-bool WriteFlow::hasWaiters() const {
-  return std::any_of(
-      Context.Requests.begin(), Context.Requests.end(),
-      [](const auto &it) { return it.second.Now == Phase::AwaitingMajority; });
+bool WriteFlow::isAwaitingMajority() const {
+  return std::any_of(Context.Requests.begin(), Context.Requests.end(),
+                     [](const auto &it) {
+                       return it.second.CurrentPhase == Phase::AwaitingMajority;
+                     });
 }
 
-void WriteFlow::settle(TimePoint now) {
+void WriteFlow::resolveAwaiting(TimePoint now) {
   std::vector<RequestId> waiting;
   for (const auto &[id, it] : Context.Requests)
-    if (it.Now == Phase::AwaitingMajority)
+    if (it.CurrentPhase == Phase::AwaitingMajority)
       waiting.push_back(id);
   std::sort(waiting.begin(), waiting.end());
   for (const auto id : waiting) {
     auto &request = *Context.find(id);
-    if (Context.View.isHeldByMajority(request.Awaited)) {
-      Context.note(request, {NoteKind::MajorityHolds, {}, request.Awaited, ""},
+    if (Context.View.isHeldByMajority(request.AwaitedMark)) {
+      Context.note(request,
+                   {NoteKind::MajorityReached, {}, request.AwaitedMark, ""},
                    now);
-      Context.finish(id, std::move(request.Pending), now);
-    } else if (Context.View.isDiscarded(request.Awaited)) {
-      discarded(request, now);
+      Context.finish(id, std::move(request.PendingAnswer), now);
+    } else if (Context.View.isDiscarded(request.AwaitedMark)) {
+      handleDiscarded(request, now);
     }
   }
 }
 
-// The log was truncated somewhere before Awaited. The write itself may lie
-// before that place, since Awaited is only an upper bound of its position.
-void WriteFlow::discarded(ActiveRequest &request, TimePoint now) {
+// The log was truncated somewhere before AwaitedMark. The write itself may lie
+// before that place, since AwaitedMark is only an upper bound of its position.
+void WriteFlow::handleDiscarded(ActiveRequest &request, TimePoint now) {
   const auto id = request.Request.Id;
-  Context.note(request, {NoteKind::Discarded, {}, request.Awaited, ""}, now);
+  Context.note(request, {NoteKind::Discarded, {}, request.AwaitedMark, ""},
+               now);
   const auto *write = std::get_if<WriteCall>(&request.Request.Asked);
   if (write != nullptr && !write->Key.empty())
-    return outcomeOpen(request, now);
-  const bool isGone =
-      request.AtLeast && Context.View.isDiscarded(*request.AtLeast);
+    return handleUnknownOutcome(request, now);
+  const bool isLost =
+      request.LowestMark && Context.View.isDiscarded(*request.LowestMark);
   Context.refuse(id,
-                 isGone ? ResultCode::WriteDiscarded
+                 isLost ? ResultCode::WriteDiscarded
                         : ResultCode::ReplacedWhileWriting,
                  "", now);
 }
@@ -75,10 +79,10 @@
 void WriteFlow::expire(ActiveRequest &request, TimePoint now) {
   const auto id = request.Request.Id;
   Context.note(request, {NoteKind::DeadlinePassed, {}, {}, ""}, now);
-  switch (request.Now) {
+  switch (request.CurrentPhase) {
   case Phase::Inserting:
     // NOTE: No commit was sent, so the database rolls the transaction back.
-    Context.close(request.On, now);
+    Context.close(request.Connection, now);
     return Context.refuse(id, ResultCode::DeadlinePassed, "", now);
   case Phase::AwaitingMajority:
     return Context.refuse(id, ResultCode::AcknowledgementMissing, "", now);
--- a/src/request/internal/WriteFlow.cpp
+++ b/src/request/internal/WriteFlow.cpp
@@ -56,10 +56,10 @@
 constexpr std::string_view ReadOnlyViolation = "25006";
 /// The SQLSTATE class of transactions that were rolled back.
 constexpr std::string_view RollbackClass = "40";
-constexpr Duration ProbeSpacing = milliseconds(20);
+constexpr Duration ProbeDelay = milliseconds(20);
 
-bool isSteadyPrimary(const std::optional<routing::Observation> &before,
-                     const std::optional<routing::Observation> &after) {
+bool areSamePrimary(const std::optional<routing::Observation> &before,
+                    const std::optional<routing::Observation> &after) {
   return before && after && before->Role == routing::InstanceRole::Primary &&
          after->Role == routing::InstanceRole::Primary &&
          before->Promised == after->Promised;
@@ -75,7 +75,7 @@
   return std::get<WriteCall>(request.Request.Asked);
 }
 
-Mark firstAfter(const routing::Observation &seen) {
+Mark firstMarkAfter(const routing::Observation &seen) {
   return {seen.Promised, LogPosition{seen.Durable.Offset + 1}};
 }
 
@@ -96,11 +96,11 @@
 
 // A leaving primary is asked for outcomes until it is gone, but begins no
 // transactions, and after the grace period runs no writes either.
-bool WriteFlow::takesNewWork(const InstanceId &primary,
-                             const ActiveRequest &request,
-                             TimePoint now) const {
+bool WriteFlow::acceptsNewWork(const InstanceId &primary,
+                               const ActiveRequest &request,
+                               TimePoint now) const {
   const auto leaving = Context.View.leavingFor(primary, now);
-  if (!leaving || request.Now == Phase::AwaitingProbe)
+  if (!leaving || request.CurrentPhase == Phase::AwaitingProbe)
     return true;
   return !std::holds_alternative<BeginCall>(request.Request.Asked) &&
          *leaving < Context.Common.Failover.LeaveGrace;
@@ -110,17 +110,17 @@
                                                    TimePoint now) {
   auto primary = Context.livePrimary(now);
   const auto &marks = request.Request.Marks.of(Context.Database.Id);
-  const bool isOlder =
+  const bool isStale =
       primary && std::any_of(marks.begin(), marks.end(), [&](const Mark &it) {
         return it.WrittenIn > Context.View.of(*primary).Last.Promised;
       });
-  if (primary && !isOlder && takesNewWork(*primary, request, now))
+  if (primary && !isStale && acceptsNewWork(*primary, request, now))
     return primary;
-  if (request.Now == Phase::AwaitingProbe)
+  if (request.CurrentPhase == Phase::AwaitingProbe)
     return std::nullopt;
-  if (request.Waiting != ResultCode::NoPrimary)
+  if (request.ExpiryCode != ResultCode::NoPrimary)
     Context.note(request, {NoteKind::WaitingForPrimary, {}, {}, ""}, now);
-  request.Waiting = ResultCode::NoPrimary;
+  request.ExpiryCode = ResultCode::NoPrimary;
   return std::nullopt;
 }
 
@@ -136,7 +136,7 @@
   if (!primary)
     return false;
   // NOTE: Once a commit was sent, only its outcome may be answered.
-  const bool isNew = request.Now != Phase::AwaitingProbe;
+  const bool isNew = request.CurrentPhase != Phase::AwaitingProbe;
   if (isNew && hasLostHistory(request)) {
     Context.refuse(request.Request.Id, ResultCode::HistoryLost, "", now);
     return true;
@@ -144,14 +144,14 @@
   const auto connection = Context.connectionFor(*primary);
   if (!connection) {
     if (isNew)
-      request.Waiting = ResultCode::DeadlinePassed;
+      request.ExpiryCode = ResultCode::DeadlinePassed;
     return false;
   }
   Context.note(request, {NoteKind::Sent, *primary, {}, ""}, now);
-  request.On = *connection;
-  request.SentIn =
-      std::max(request.SentIn, Context.View.of(*primary).Last.Promised);
-  if (request.Now == Phase::AwaitingProbe)
+  request.Connection = *connection;
+  request.SentInTerm =
+      std::max(request.SentInTerm, Context.View.of(*primary).Last.Promised);
+  if (request.CurrentPhase == Phase::AwaitingProbe)
     sendProbe(request, *connection, now);
   else if (callOf(request).Key.empty())
     sendPlain(request, *connection, now);
@@ -164,7 +164,7 @@
                           TimePoint now) {
   const auto &change = callOf(request).Change;
   const auto &observe = Context.Common.Dialect.Observe;
-  request.Now = Phase::Writing;
+  request.CurrentPhase = Phase::Writing;
   Context.send(connection, WriteWork{request.Request.Id, 0},
                {{"BEGIN", {}, false},
                 {observe, {}, false},
@@ -179,7 +179,7 @@
   const auto &call = callOf(request);
   const auto &dialect = Context.Common.Dialect;
   std::vector<upstream::Step> steps;
-  if (LedgerReadyIn < request.SentIn)
+  if (LedgerExistsInTerm < request.SentInTerm)
     steps.push_back({dialect.LedgerCreate, {}, true});
   const auto offset = steps.size();
   steps.push_back({"BEGIN", {}, false});
@@ -187,7 +187,7 @@
   steps.push_back(
       {dialect.LedgerInsert, {call.Key, digestOf(call.Change)}, false});
   steps.push_back({call.Change.Sql, call.Change.Parameters, true});
-  request.Now = Phase::Inserting;
+  request.CurrentPhase = Phase::Inserting;
   Context.send(connection, WriteWork{request.Request.Id, offset},
                std::move(steps), now);
 }
@@ -195,7 +195,7 @@
 void WriteFlow::sendReplay(ActiveRequest &request, ConnectionId connection,
                            Phase phase, TimePoint now) {
   const auto &dialect = Context.Common.Dialect;
-  request.Now = phase;
+  request.CurrentPhase = phase;
   Context.send(connection, WriteWork{request.Request.Id, 0},
                {{"ROLLBACK", {}, false},
                 {dialect.LedgerRead, {callOf(request).Key}, false},
@@ -212,7 +212,7 @@
   const auto &dialect = Context.Common.Dialect;
   const auto primary = Context.Pool.find(connection)->Instance;
   Context.note(request, {NoteKind::LookingUpKey, primary, {}, ""}, now);
-  request.Now = Phase::Probing;
+  request.CurrentPhase = Phase::Probing;
   Context.send(
       connection, WriteWork{request.Request.Id, 0},
       {{"BEGIN", {}, false},
@@ -222,8 +222,9 @@
 }
 
 std::optional<routing::Observation>
-WriteFlow::take(const RunningWork &running, const upstream::BatchResult &result,
-                std::size_t step, TimePoint now) {
+WriteFlow::recordObservation(const RunningWork &running,
+                             const upstream::BatchResult &result,
+                             std::size_t step, TimePoint now) {
   if (step >= result.Steps.size())
     return std::nullopt;
   auto seen = readObservation(result.Steps[step]);
@@ -235,28 +236,28 @@
 void WriteFlow::finished(const WriteWork &work, const RunningWork &running,
                          ConnectionId connection,
                          const upstream::BatchResult &result, TimePoint now) {
-  Context.noteServed(running.Instance, running.SentAt, now);
+  Context.noteCompleted(running.Instance, running.SentAt, now);
   auto *request = Context.find(work.Request);
-  if (request == nullptr || request->On != connection)
+  if (request == nullptr || request->Connection != connection)
     return Context.release(connection, result.After, now);
-  const bool isWhole = result.Steps.size() == running.Steps;
-  switch (request->Now) {
+  const bool isComplete = result.Steps.size() == running.Steps;
+  switch (request->CurrentPhase) {
   case Phase::Inserting:
-    if (isWhole)
+    if (isComplete)
       return insertDone(*request, running, connection, result, work.Offset,
                         now);
     break;
   case Phase::Probing:
-    if (isWhole)
+    if (isComplete)
       return probeDone(*request, running, connection, result, now);
     break;
   default:
     break;
   }
   Context.release(connection, result.After, now);
-  if (!isWhole)
-    return outcomeOpen(*request, now);
-  switch (request->Now) {
+  if (!isComplete)
+    return handleUnknownOutcome(*request, now);
+  switch (request->CurrentPhase) {
   case Phase::Writing:
     return plainDone(*request, running, result, now);
   case Phase::Committing:
@@ -269,9 +270,10 @@
   }
 }
 
-void WriteFlow::notRun(ActiveRequest &request, const upstream::StepResult &step,
-                       const std::optional<routing::Observation> &seen,
-                       TimePoint now) {
+void WriteFlow::handleNotRun(ActiveRequest &request,
+                             const upstream::StepResult &step,
+                             const std::optional<routing::Observation> &seen,
+                             TimePoint now) {
   const bool wasPrimary = seen && seen->Role == routing::InstanceRole::Primary;
   const bool wrongInstance =
       step.Outcome == StepOutcome::Skipped ||
@@ -284,11 +286,11 @@
 
 void WriteFlow::plainDone(ActiveRequest &request, const RunningWork &running,
                           const upstream::BatchResult &result, TimePoint now) {
-  const auto before = take(running, result, PlainObserve, now);
-  const auto after = take(running, result, PlainObserveAfter, now);
+  const auto before = recordObservation(running, result, PlainObserve, now);
+  const auto after = recordObservation(running, result, PlainObserveAfter, now);
   const auto &change = result.Steps[PlainChange];
   if (change.Outcome != StepOutcome::Ok)
-    return notRun(request, change, before, now);
+    return handleNotRun(request, change, before, now);
   const auto &commit = result.Steps[PlainCommit];
   // NOTE: The primary was replaced between the change and its commit. The
   // database reports the rollback, so the successor may run the write.
@@ -300,7 +302,7 @@
   if (commit.Outcome != StepOutcome::Ok)
     return Context.refuse(request.Request.Id, ResultCode::StatementFailed,
                           failureText(commit), now);
-  if (!isSteadyPrimary(before, after))
+  if (!areSamePrimary(before, after))
     return Context.refuse(request.Request.Id, ResultCode::ReplacedWhileWriting,
                           "", now);
   CallerAnswer answer;
@@ -310,7 +312,7 @@
     answer.Code = ResultCode::ResultLeftOut;
   }
   answer.AnsweredBy = running.Instance;
-  request.AtLeast = firstAfter(*before);
+  request.LowestMark = firstMarkAfter(*before);
   awaitMajority(request, after->appliedMark(), std::move(answer), now);
 }
 
@@ -318,7 +320,8 @@
                            ConnectionId connection,
                            const upstream::BatchResult &result,
                            std::size_t offset, TimePoint now) {
-  const auto seen = take(running, result, offset + InsertObserve, now);
+  const auto seen =
+      recordObservation(running, result, offset + InsertObserve, now);
   const auto &key = result.Steps[offset + InsertKey];
   const auto &change = result.Steps[offset + InsertChange];
   const bool isTaken = key.SqlState == UniqueViolation;
@@ -329,33 +332,34 @@
   const auto &failed = key.Outcome != StepOutcome::Ok ? key : change;
   if (failed.Outcome != StepOutcome::Ok) {
     Context.release(connection, result.After, now);
-    return notRun(request, failed, seen, now);
+    return handleNotRun(request, failed, seen, now);
   }
   const bool isOpen = result.After == TransactionState::Open;
   if (!isOpen || !seen || seen->Role != routing::InstanceRole::Primary) {
     Context.close(connection, now);
-    return outcomeOpen(request, now);
+    return handleUnknownOutcome(request, now);
   }
-  request.Pending = {};
-  request.Pending.Result = resultOf(change);
-  if (!Context.fitsLimits(request.Pending.Result)) {
+  request.PendingAnswer = {};
+  request.PendingAnswer.Result = resultOf(change);
+  if (!Context.fitsLimits(request.PendingAnswer.Result)) {
     Context.release(connection, result.After, now);
     return Context.refuse(request.Request.Id, ResultCode::ResultTooLarge, "",
                           now);
   }
-  request.Pending.AnsweredBy = running.Instance;
-  request.SentIn = seen->Promised;
-  LedgerReadyIn = std::max(LedgerReadyIn, seen->Promised);
+  request.PendingAnswer.AnsweredBy = running.Instance;
+  request.SentInTerm = seen->Promised;
+  LedgerExistsInTerm = std::max(LedgerExistsInTerm, seen->Promised);
   Context.note(request, {NoteKind::CommitSent, running.Instance, {}, ""}, now);
-  request.Now = Phase::Committing;
+  request.CurrentPhase = Phase::Committing;
   const auto &dialect = Context.Common.Dialect;
-  Context.send(connection, WriteWork{request.Request.Id, 0},
-               {{dialect.LedgerRecord,
-                 {callOf(request).Key, ledgerText(request.Pending.Result)},
-                 false},
-                {"COMMIT", {}, false},
-                {dialect.Observe, {}, true}},
-               now);
+  Context.send(
+      connection, WriteWork{request.Request.Id, 0},
+      {{dialect.LedgerRecord,
+        {callOf(request).Key, ledgerText(request.PendingAnswer.Result)},
+        false},
+       {"COMMIT", {}, false},
+       {dialect.Observe, {}, true}},
+      now);
 }
 
 void WriteFlow::commitDone(ActiveRequest &request, const RunningWork &running,
@@ -364,26 +368,27 @@
     if (result.Steps[step].Outcome == StepOutcome::Failed)
       return Context.refuse(request.Request.Id, ResultCode::StatementFailed,
                             failureText(result.Steps[step]), now);
-  const auto after = take(running, result, CommitObserve, now);
-  const bool isSteady = after && after->Promised == request.SentIn &&
-                        after->Role == routing::InstanceRole::Primary;
-  if (!isSteady)
-    return outcomeOpen(request, now);
-  awaitMajority(request, after->appliedMark(), std::move(request.Pending), now);
+  const auto after = recordObservation(running, result, CommitObserve, now);
+  const bool isSamePrimary = after && after->Promised == request.SentInTerm &&
+                             after->Role == routing::InstanceRole::Primary;
+  if (!isSamePrimary)
+    return handleUnknownOutcome(request, now);
+  awaitMajority(request, after->appliedMark(), std::move(request.PendingAnswer),
+                now);
 }
 
 void WriteFlow::replayDone(ActiveRequest &request, const RunningWork &running,
                            const upstream::BatchResult &result, TimePoint now) {
-  const auto after = take(running, result, ReplayObserve, now);
+  const auto after = recordObservation(running, result, ReplayObserve, now);
   const auto &read = result.Steps[ReplayRead];
   const bool isPrimary = after && after->Role == routing::InstanceRole::Primary;
   if (read.Outcome != StepOutcome::Ok || !isPrimary)
-    return outcomeOpen(request, now);
+    return handleUnknownOutcome(request, now);
   // NOTE: The transaction that held the key may have been rolled back between
   // the insert and this read; then no write has run under the key yet.
   if (read.Rows.empty()) {
-    if (request.Now == Phase::ProbeReading)
-      return outcomeOpen(request, now);
+    if (request.CurrentPhase == Phase::ProbeReading)
+      return handleUnknownOutcome(request, now);
     return Context.retryOrRefuse(request, ResultCode::KeyStillRunning, now);
   }
   const auto &row = read.Rows.front();
@@ -396,7 +401,7 @@
     answer.Result = *recorded;
   else
     answer.Code = ResultCode::ResultLeftOut;
-  answer.Replayed = request.Now == Phase::Replaying;
+  answer.Replayed = request.CurrentPhase == Phase::Replaying;
   answer.AnsweredBy = running.Instance;
   awaitMajority(request, after->appliedMark(), std::move(answer), now);
 }
@@ -404,9 +409,9 @@
 void WriteFlow::probeDone(ActiveRequest &request, const RunningWork &running,
                           ConnectionId connection,
                           const upstream::BatchResult &result, TimePoint now) {
-  const auto seen = take(running, result, ProbeObserve, now);
+  const auto seen = recordObservation(running, result, ProbeObserve, now);
   const auto &key = result.Steps[ProbeKey];
-  const bool isUsable = seen && seen->Promised >= request.SentIn &&
+  const bool isUsable = seen && seen->Promised >= request.SentInTerm &&
                         seen->Role == routing::InstanceRole::Primary;
   if (isUsable && key.SqlState == UniqueViolation) {
     Context.note(request, {NoteKind::KeyFound, running.Instance, {}, ""}, now);
@@ -414,7 +419,7 @@
   }
   Context.release(connection, result.After, now);
   if (!isUsable || key.Outcome != StepOutcome::Ok)
-    return outcomeOpen(request, now);
+    return handleUnknownOutcome(request, now);
   Context.note(request, {NoteKind::KeyAbsent, running.Instance, {}, ""}, now);
   // NOTE: A new primary's log may lack the write and still be lost before a
   // majority holds its term; the old log, with the write, would then become
@@ -424,13 +429,13 @@
   awaitMajority(request, seen->appliedMark(), std::move(answer), now);
 }
 
-void WriteFlow::outcomeOpen(ActiveRequest &request, TimePoint now) {
+void WriteFlow::handleUnknownOutcome(ActiveRequest &request, TimePoint now) {
   if (callOf(request).Key.empty())
     return Context.refuse(request.Request.Id, ResultCode::WriteOutcomeUnknown,
                           "", now);
-  request.Now = Phase::AwaitingProbe;
-  request.Waiting = ResultCode::WriteOutcomeUnknown;
-  request.NotBefore = now + ProbeSpacing;
+  request.CurrentPhase = Phase::AwaitingProbe;
+  request.ExpiryCode = ResultCode::WriteOutcomeUnknown;
+  request.NotBefore = now + ProbeDelay;
   Context.requeue(request);
 }
 
@@ -439,14 +444,14 @@
   auto *request = Context.noteLost(work.Request, instance, now);
   if (request == nullptr)
     return;
-  switch (request->Now) {
+  switch (request->CurrentPhase) {
   case Phase::Inserting:
     return Context.retryOrRefuse(*request, ResultCode::UpstreamLost, now);
   case Phase::Replaying:
     return Context.retryOrRefuse(*request, ResultCode::WriteOutcomeUnknown,
                                  now);
   default:
-    return outcomeOpen(*request, now);
+    return handleUnknownOutcome(*request, now);
   }
 }
 
--- a/src/request/internal/WriteFlow.h
+++ b/src/request/internal/WriteFlow.h
@@ -16,7 +16,7 @@
 
 /// The lowest position of a write that the primary ran after it reported
 /// \p seen.
-Mark firstAfter(const routing::Observation &seen);
+Mark firstMarkAfter(const routing::Observation &seen);
 
 class WriteFlow {
 public:
@@ -38,8 +38,8 @@
   void awaitMajority(ActiveRequest &request, Mark mark, CallerAnswer answer,
                      TimePoint now);
   /// Answers the writes that a majority holds or that are permanently lost.
-  void settle(TimePoint now);
-  bool hasWaiters() const;
+  void resolveAwaiting(TimePoint now);
+  bool isAwaitingMajority() const;
 
   /// The primary that may run a write of \p request now. If there is none, the
   /// wait is noted in the record of \p request.
@@ -47,8 +47,8 @@
                                           TimePoint now);
 
 private:
-  bool takesNewWork(const InstanceId &primary, const ActiveRequest &request,
-                    TimePoint now) const;
+  bool acceptsNewWork(const InstanceId &primary, const ActiveRequest &request,
+                      TimePoint now) const;
   bool hasLostHistory(const ActiveRequest &request) const;
   const WriteCall &callOf(const ActiveRequest &request) const;
   void sendPlain(ActiveRequest &request, ConnectionId connection,
@@ -71,19 +71,21 @@
   void probeDone(ActiveRequest &request, const RunningWork &running,
                  ConnectionId connection, const upstream::BatchResult &result,
                  TimePoint now);
-  void discarded(ActiveRequest &request, TimePoint now);
+  void handleDiscarded(ActiveRequest &request, TimePoint now);
   /// Retries or refuses the request, depending on \p step, the first one that
   /// did not run.
-  void notRun(ActiveRequest &request, const upstream::StepResult &step,
-              const std::optional<routing::Observation> &seen, TimePoint now);
-  void outcomeOpen(ActiveRequest &request, TimePoint now);
-  std::optional<routing::Observation> take(const RunningWork &running,
-                                           const upstream::BatchResult &result,
-                                           std::size_t step, TimePoint now);
+  void handleNotRun(ActiveRequest &request, const upstream::StepResult &step,
+                    const std::optional<routing::Observation> &seen,
+                    TimePoint now);
+  void handleUnknownOutcome(ActiveRequest &request, TimePoint now);
+  std::optional<routing::Observation>
+  recordObservation(const RunningWork &running,
+                    const upstream::BatchResult &result, std::size_t step,
+                    TimePoint now);
 
   DatabaseContext &Context;
   /// The newest term in which the ledger's table is known to exist.
-  Term LedgerReadyIn;
+  Term LedgerExistsInTerm;
 };
 
 } // namespace stepledge::request
--- a/src/request/tests/DifferentialTest.cpp
+++ b/src/request/tests/DifferentialTest.cpp
@@ -27,9 +27,9 @@
 
 namespace {
 
-constexpr int Proxies = 2;
-constexpr int Sessions = 5;
-constexpr int Rounds = 40;
+constexpr int ProxyCount = 2;
+constexpr int SessionCount = 5;
+constexpr int RoundCount = 40;
 const DatabaseId Database("bookings");
 
 void addPeers(int proxy, settings::Settings &out) {
@@ -39,7 +39,7 @@
   out.Failover.Suspect = milliseconds(40);
   out.Failover.Stagger = milliseconds(5);
   out.Failover.Rest = milliseconds(50);
-  for (int n = 0; n < Proxies; ++n)
+  for (int n = 0; n < ProxyCount; ++n)
     if (n != proxy)
       out.Peers.push_back({VmId("vm" + std::to_string(n)),
                            HallId("hall" + std::to_string(n)),
@@ -48,11 +48,11 @@
 }
 
 /// Who replaces a lost primary.
-enum class Replacing { Operators, Proxies };
+enum class Replacer { Operators, Proxies };
 
-settings::Settings settingsOf(int proxy, Replacing replacing) {
+settings::Settings settingsOf(int proxy, Replacer replacer) {
   settings::Settings out;
-  if (replacing == Replacing::Proxies)
+  if (replacer == Replacer::Proxies)
     addPeers(proxy, out);
   out.Vm = VmId("vm" + std::to_string(proxy));
   settings::DatabaseSettings database;
@@ -72,98 +72,103 @@
 /// One coordinator with its connections to the fake group.
 class Proxy {
 public:
-  using Answered = std::function<void(const CallerAnswer &answer)>;
+  using AnswerHandler = std::function<void(const CallerAnswer &answer)>;
 
-  using Asked = std::function<void(int number, const AskOtherHalls &question)>;
+  using QueryHandler =
+      std::function<void(int number, const AskOtherHalls &question)>;
 
-  Proxy(FakeGroup &group, int number, std::uint64_t seed, Replacing replacing,
-        Asked asked)
+  Proxy(FakeGroup &group, int number, std::uint64_t seed, Replacer replacer,
+        QueryHandler onQuery)
       : Group(group), Number(number),
-        Base(static_cast<std::uint64_t>(number) << 32), Ask(std::move(asked)),
-        Coordinator(makeRequestCoordinator(settingsOf(number, replacing), seed,
+        Base(static_cast<std::uint64_t>(number) << 32),
+        OnQuery(std::move(onQuery)),
+        Coordinator(makeRequestCoordinator(settingsOf(number, replacer), seed,
                                            group.now())) {
-    tell(TimePassed{});
+    sendEvent(TimePassed{});
   }
 
   bool isSilent() const {
     return Coordinator->isPrimarySilent(Database, Group.now());
   }
-  void hear(const PeerOpinion &opinion) { tell(opinion); }
+  void receive(const PeerOpinion &opinion) { sendEvent(opinion); }
 
-  void submit(CallerRequest request, Answered answered) {
+  void submit(CallerRequest request, AnswerHandler onAnswer) {
     request.Id = RequestId{++Requests};
-    Waiting[request.Id] = std::move(answered);
-    tell(RequestArrived{std::move(request)});
+    AnswerHandlers[request.Id] = std::move(onAnswer);
+    sendEvent(RequestArrived{std::move(request)});
   }
 
 private:
-  void tell(const Event &event) {
+  void sendEvent(const Event &event) {
     for (const auto &it : Coordinator->onEvent(event, Group.now()))
       std::visit([this](const auto &effect) { apply(effect); }, it);
-    arm();
+    scheduleWake();
   }
 
-  void arm() {
+  void scheduleWake() {
     const auto wake = Coordinator->nextWake();
-    if (!wake || (Armed && ArmedFor <= *wake && ArmedFor > Group.now()))
+    if (!wake ||
+        (IsScheduled && ScheduledFor <= *wake && ScheduledFor > Group.now()))
       return;
-    Armed = true;
-    ArmedFor = std::max(*wake, Group.now() + Duration{1});
-    const auto mine = ArmedFor;
+    IsScheduled = true;
+    ScheduledFor = std::max(*wake, Group.now() + Duration{1});
+    const auto mine = ScheduledFor;
     Group.after(mine - Group.now(), [this, mine] {
-      if (ArmedFor != mine)
+      if (ScheduledFor != mine)
         return;
-      Armed = false;
-      tell(TimePassed{});
+      IsScheduled = false;
+      sendEvent(TimePassed{});
     });
   }
 
   void apply(const OpenConnection &it) {
     Instances[it.Connection] = std::stoi(it.Instance.str());
     const auto id = it.Connection;
-    Group.after(Group.upTo(2000), [this, id] { tell(ConnectionOpened{id}); });
+    Group.after(Group.upTo(2000),
+                [this, id] { sendEvent(ConnectionOpened{id}); });
   }
   void apply(const CloseConnection &it) {
     const auto number = Base + it.Connection.Number;
     // The instance notices it only later.
-    Group.after(Group.upTo(3000), [this, number] { Group.forget(number); });
+    Group.after(Group.upTo(3000),
+                [this, number] { Group.dropConnection(number); });
   }
   void apply(const RunBatch &it) {
     const auto id = it.Connection;
     Group.run(
         Base + id.Number, Instances.at(id), it.Work,
         [this, id](const upstream::BatchResult &result) {
-          tell(BatchFinished{id, result});
+          sendEvent(BatchFinished{id, result});
         },
         [this, id] {
-          tell(ConnectionLost{id, "lost"});
+          sendEvent(ConnectionLost{id, "lost"});
         });
   }
   void apply(const SendAnswer &it) {
-    const auto found = Waiting.find(it.Answer.Id);
-    if (found == Waiting.end())
+    const auto found = AnswerHandlers.find(it.Answer.Id);
+    if (found == AnswerHandlers.end())
       return;
-    const auto answered = std::move(found->second);
-    Waiting.erase(found);
-    answered(it.Answer);
+    const auto onAnswer = std::move(found->second);
+    AnswerHandlers.erase(found);
+    onAnswer(it.Answer);
   }
   void apply(const RecordDecision &) {}
-  void apply(const AskOtherHalls &it) { Ask(Number, it); }
+  void apply(const AskOtherHalls &it) { OnQuery(Number, it); }
 
   FakeGroup &Group;
   int Number;
   std::uint64_t Base;
-  Asked Ask;
+  QueryHandler OnQuery;
   std::unique_ptr<IRequestCoordinator> Coordinator;
-  std::map<RequestId, Answered> Waiting;
+  std::map<RequestId, AnswerHandler> AnswerHandlers;
   std::map<ConnectionId, int> Instances;
   std::uint64_t Requests = 0;
-  bool Armed = false;
-  TimePoint ArmedFor;
+  bool IsScheduled = false;
+  TimePoint ScheduledFor;
 };
 
 /// The answer that a caller got to a write.
-struct ToldWrite {
+struct ReportedWrite {
   std::string Name;
   std::int64_t Value = 0;
   ResultClass Class = ResultClass::Unknown;
@@ -173,10 +178,10 @@
 /// The naive model: a name's value is the last acknowledged one.
 class History {
 public:
-  void wrote(const ToldWrite &write) { Writes.push_back(write); }
+  void add(const ReportedWrite &write) { Writes.push_back(write); }
 
   /// The lowest value that a read of the data of \p freshAt may return.
-  std::int64_t floorAt(const std::string &name, TimePoint freshAt) const {
+  std::int64_t lowestValueAt(const std::string &name, TimePoint freshAt) const {
     std::int64_t value = 0;
     for (const auto &it : Writes)
       if (it.Name == name && it.Class == ResultClass::Ran && it.At <= freshAt)
@@ -184,10 +189,10 @@
     return value;
   }
 
-  const std::vector<ToldWrite> &writes() const { return Writes; }
+  const std::vector<ReportedWrite> &writes() const { return Writes; }
 
 private:
-  std::vector<ToldWrite> Writes;
+  std::vector<ReportedWrite> Writes;
 };
 
 /// One session; only it writes its name, with increasing values.
@@ -196,23 +201,23 @@
   session::SessionMarks Marks;
   std::int64_t Next = 1;
   std::int64_t Acknowledged = 0;
-  bool Busy = false;
+  bool IsBusy = false;
 };
 
 class Trial {
 public:
-  explicit Trial(std::uint64_t seed, Replacing by = Replacing::Operators)
+  explicit Trial(std::uint64_t seed, Replacer by = Replacer::Operators)
       : By(by), Random(seed),
         Group(seed ^ 0x5eed, settings::DialectSettings{}) {
     Group.FaultPercent = static_cast<int>(Random() % 4);
     for (int n = 1; n < 3; ++n)
       if (Random() % 2 == 0)
         Group.instance(n).Lag = milliseconds(1);
-    for (int n = 0; n < Proxies; ++n)
+    for (int n = 0; n < ProxyCount; ++n)
       All.push_back(std::make_unique<Proxy>(
           Group, n, seed + 1, by,
           [this](int asker, const AskOtherHalls &it) { ask(asker, it); }));
-    for (int n = 0; n < Sessions; ++n) {
+    for (int n = 0; n < SessionCount; ++n) {
       Session it;
       it.Name = "s" + std::to_string(n);
       Callers.push_back(it);
@@ -221,10 +226,10 @@
 
   void run() {
     Group.runUntil(TimePoint(milliseconds(50)));
-    for (int round = 0; round < Rounds; ++round) {
+    for (int round = 0; round < RoundCount; ++round) {
       for (auto &it : Callers)
-        if (!it.Busy && Random() % 3 != 0)
-          act(it);
+        if (!it.IsBusy && Random() % 3 != 0)
+          submitRandom(it);
       if (Random() % 12 == 0)
         losePrimary();
       if (Random() % 8 == 0)
@@ -237,21 +242,21 @@
     // A system that refuses everything would keep all guarantees; so once all
     // faults have ended, each session's write must be acknowledged.
     for (auto &it : Callers)
-      writeAtLast(it);
+      submitFinalWrite(it);
     Group.runUntil(Group.now() + milliseconds(3000));
     checkEnd();
   }
 
 private:
   void heal() {
-    if (By == Replacing::Operators)
+    if (By == Replacer::Operators)
       Group.heal();
     else
       Group.reconnect();
   }
 
   void losePrimary() {
-    if (By == Replacing::Operators)
+    if (By == Replacer::Operators)
       return Group.replacePrimary();
     const int primary = Group.newestPrimary();
     if (primary >= 0)
@@ -259,7 +264,7 @@
   }
 
   void ask(int asker, const AskOtherHalls &question) {
-    for (int n = 0; n < Proxies; ++n) {
+    for (int n = 0; n < ProxyCount; ++n) {
       if (n == asker || Group.chance(20))
         continue;
       Group.after(Group.upTo(3000), [this, asker, n, question] {
@@ -268,18 +273,18 @@
                                   VmId("vm" + std::to_string(n)),
                                   question.Current, isSilent};
         Group.after(Group.upTo(3000), [this, asker, opinion] {
-          All[static_cast<std::size_t>(asker)]->hear(opinion);
+          All[static_cast<std::size_t>(asker)]->receive(opinion);
         });
       });
     }
   }
 
-  void act(Session &it) {
+  void submitRandom(Session &it) {
     CallerRequest request;
     request.Database = Database;
     request.Marks = it.Marks;
     request.Deadline = Group.now() + milliseconds(400);
-    it.Busy = true;
+    it.IsBusy = true;
     if (Random() % 2 == 0)
       write(it, std::move(request));
     else
@@ -296,20 +301,20 @@
         WriteCall{{"PUT " + it.Name + " " + std::to_string(value), {}}, key};
     anyProxy().submit(std::move(request),
                       [this, &it, value](const CallerAnswer &answer) {
-                        const auto heard = resultRow(answer.Code).Class;
-                        Told.wrote({it.Name, value, heard, Group.now()});
-                        if (heard == ResultClass::Ran)
+                        const auto result = resultRow(answer.Code).Class;
+                        Reported.add({it.Name, value, result, Group.now()});
+                        if (result == ResultClass::Ran)
                           it.Acknowledged = value;
-                        hear(it, answer);
+                        updateSession(it, answer);
                       });
   }
 
-  void writeAtLast(Session &it) {
-    RC_ASSERT(!it.Busy);
+  void submitFinalWrite(Session &it) {
+    RC_ASSERT(!it.IsBusy);
     CallerRequest request;
     request.Database = Database;
     request.Deadline = Group.now() + milliseconds(2000);
-    it.Busy = true;
+    it.IsBusy = true;
     write(it, std::move(request));
   }
 
@@ -323,7 +328,7 @@
                                            maxAge](const CallerAnswer &answer) {
       if (answer.Code == ResultCode::Done)
         checkRead(name, floor, maxAge, answer);
-      hear(it, answer);
+      updateSession(it, answer);
     });
   }
 
@@ -336,11 +341,11 @@
     RC_ASSERT(answer.Age.has_value());
     if (maxAge.count() > 0)
       RC_ASSERT(*answer.Age <= maxAge);
-    RC_ASSERT(value >= Told.floorAt(name, Group.now() - *answer.Age));
+    RC_ASSERT(value >= Reported.lowestValueAt(name, Group.now() - *answer.Age));
   }
 
-  void hear(Session &it, const CallerAnswer &answer) {
-    it.Busy = false;
+  void updateSession(Session &it, const CallerAnswer &answer) {
+    it.IsBusy = false;
     it.Marks = answer.Marks;
     if (answer.Code != ResultCode::HistoryLost)
       return;
@@ -356,7 +361,7 @@
     for (const auto &it : Group.instance(primary).Log)
       if (!it.Name.empty())
         ++found[{it.Name, it.Value}];
-    for (const auto &it : Told.writes()) {
+    for (const auto &it : Reported.writes()) {
       const auto n = found[{it.Name, it.Value}];
       RC_ASSERT(n <= 1);
       if (it.Class == ResultClass::Ran)
@@ -368,12 +373,12 @@
       RC_ASSERT(it.Acknowledged == it.Next - 1);
   }
 
-  Replacing By;
+  Replacer By;
   std::mt19937_64 Random;
   FakeGroup Group;
   std::vector<std::unique_ptr<Proxy>> All;
   std::vector<Session> Callers;
-  History Told;
+  History Reported;
 };
 
 } // namespace
@@ -407,6 +412,6 @@
   fixSeed();
   const bool holds = rc::check(
       "promises hold while proxies race to replace the primary",
-      [](std::uint64_t seed) { Trial(seed, Replacing::Proxies).run(); });
+      [](std::uint64_t seed) { Trial(seed, Replacer::Proxies).run(); });
   CHECK(holds);
 }
--- a/src/request/tests/FakeGroup.cpp
+++ b/src/request/tests/FakeGroup.cpp
@@ -17,8 +17,8 @@
 using upstream::StepResult;
 using upstream::TransactionState;
 
-constexpr std::int64_t NetworkMicroseconds = 3000;
-constexpr Duration CopySpacing{700};
+constexpr std::int64_t MaxNetworkMicroseconds = 3000;
+constexpr Duration CopyInterval{700};
 
 StepResult ok() {
   StepResult out;
@@ -53,16 +53,16 @@
                      const settings::DialectSettings &dialect)
     : Dialect(dialect), Random(seed), Instances(3) {
   Instances[0].Role = "primary";
-  Instances[0].Following = -1;
+  Instances[0].ReplicatesFrom = -1;
   for (auto &it : Instances) {
     it.Log.push_back({1, "", 0, "", "", ""});
     it.Applied = 1;
   }
-  after(CopySpacing, [this] { replicate(); });
+  after(CopyInterval, [this] { replicate(); });
 }
 
 void FakeGroup::after(Duration delay, std::function<void()> action) {
-  Events.push({Now + delay, ++Orders, std::move(action)});
+  Events.push({Now + delay, ++LastOrder, std::move(action)});
 }
 
 void FakeGroup::runUntil(TimePoint end) {
@@ -91,7 +91,7 @@
       continue;
     for (const auto &[id, it] : Transactions)
       for (const auto &write : it.Writes)
-        if (id != connection && it.Instance == instance && it.Open &&
+        if (id != connection && it.Instance == instance && it.IsOpen &&
             write.Key == step.Parameters[0])
           return true;
   }
@@ -101,35 +101,35 @@
 void FakeGroup::run(std::uint64_t connection, int instance,
                     const upstream::Batch &batch, const Done &done,
                     const Lost &lost) {
-  const bool isLostOnTheWay = chance(FaultPercent);
-  const bool isLostOnTheWayBack = chance(FaultPercent);
-  const bool isDoubled = chance(FaultPercent);
-  after(upTo(NetworkMicroseconds), [=, this] {
-    if (Instances[Index(instance)].Isolated)
+  const bool isBatchLost = chance(FaultPercent);
+  const bool isAnswerLost = chance(FaultPercent);
+  const bool isDuplicated = chance(FaultPercent);
+  after(upTo(MaxNetworkMicroseconds), [=, this] {
+    if (Instances[Index(instance)].IsIsolated)
       return;
-    if (isLostOnTheWay) {
-      forget(connection);
+    if (isBatchLost) {
+      dropConnection(connection);
       return lost();
     }
     // An insert of a key blocks while another open transaction holds it.
     if (waitsForKey(connection, instance, batch))
       return run(connection, instance, batch, done, lost);
     const auto result = execute(connection, instance, batch);
-    after(upTo(NetworkMicroseconds), [=, this] {
-      if (Instances[Index(instance)].Isolated)
+    after(upTo(MaxNetworkMicroseconds), [=, this] {
+      if (Instances[Index(instance)].IsIsolated)
         return;
-      if (isLostOnTheWayBack) {
-        forget(connection);
+      if (isAnswerLost) {
+        dropConnection(connection);
         return lost();
       }
       done(result);
-      if (isDoubled)
+      if (isDuplicated)
         done(result);
     });
   });
 }
 
-void FakeGroup::forget(std::uint64_t connection) {
+void FakeGroup::dropConnection(std::uint64_t connection) {
   Transactions.erase(connection);
 }
 
@@ -139,22 +139,22 @@
   transaction.Instance = instance;
   auto &it = Instances[Index(instance)];
   upstream::BatchResult result{batch.Id, {}, {}};
-  bool skipping = false;
+  bool isSkipping = false;
   for (const auto &step : batch.Steps) {
     StepResult answer;
-    if (!skipping)
+    if (!isSkipping)
       answer = executeStep(transaction, it, step);
     if (answer.Outcome == StepOutcome::Failed) {
-      skipping = true;
-      transaction.Failed = transaction.Open;
+      isSkipping = true;
+      transaction.HasFailed = transaction.IsOpen;
     }
     if (step.SyncAfter)
-      skipping = false;
+      isSkipping = false;
     result.Steps.push_back(std::move(answer));
   }
-  result.After = !transaction.Open    ? TransactionState::Idle
-                 : transaction.Failed ? TransactionState::Failed
-                                      : TransactionState::Open;
+  result.After = !transaction.IsOpen     ? TransactionState::Idle
+                 : transaction.HasFailed ? TransactionState::Failed
+                                         : TransactionState::Open;
   return result;
 }
 
@@ -162,14 +162,14 @@
                                   FakeInstance &it,
                                   const upstream::Step &step) {
   if (step.Sql.starts_with("BEGIN")) {
-    transaction.Open = true;
+    transaction.IsOpen = true;
     return ok();
   }
   if (step.Sql == "ROLLBACK") {
     transaction = {transaction.Instance, false, false, {}};
     return ok();
   }
-  if (transaction.Failed)
+  if (transaction.HasFailed)
     return failed("25P02");
   if (step.Sql == "COMMIT")
     return commit(transaction, it);
@@ -217,7 +217,7 @@
   if (step.Sql == Dialect.Fence && term > it.Promised) {
     it.Promised = term;
     it.Role = "fenced";
-    it.Following = -1;
+    it.ReplicatesFrom = -1;
   } else if (step.Sql == Dialect.Promote && term == it.Promised &&
              it.Role != "primary") {
     it.Role = "primary";
@@ -227,7 +227,7 @@
     it.Promised = term;
     it.Role = "replica";
     // In these tests the port of an instance is its number.
-    it.Following = std::stoi(step.Parameters[1].value_or("0"));
+    it.ReplicatesFrom = std::stoi(step.Parameters[1].value_or("0"));
   }
   return ok();
 }
@@ -255,20 +255,20 @@
   if (it.Role != "primary")
     return failed("25006");
   // NOTE: A transaction is one entry, so that it is replicated atomically.
-  FakeEntry whole;
-  whole.InTerm = it.Promised;
+  FakeEntry merged;
+  merged.InTerm = it.Promised;
   for (const auto &write : writes) {
     if (!write.Key.empty()) {
-      whole.Key = write.Key;
-      whole.Digest = write.Digest;
-      whole.Result = write.Result;
+      merged.Key = write.Key;
+      merged.Digest = write.Digest;
+      merged.Result = write.Result;
     }
     if (!write.Name.empty()) {
-      whole.Name = write.Name;
-      whole.Value = write.Value;
+      merged.Name = write.Name;
+      merged.Value = write.Value;
     }
   }
-  it.Log.push_back(std::move(whole));
+  it.Log.push_back(std::move(merged));
   it.Applied = it.Log.size();
   return ok();
 }
@@ -291,17 +291,17 @@
 
 void FakeGroup::replicate() {
   for (auto &it : Instances) {
-    if (it.Role != "replica" || it.Following < 0 || it.CutFromGroup)
+    if (it.Role != "replica" || it.ReplicatesFrom < 0 || it.IsPartitioned)
       continue;
-    const auto &primary = Instances[Index(it.Following)];
-    if (!primary.CutFromGroup && primary.Role == "primary" &&
+    const auto &primary = Instances[Index(it.ReplicatesFrom)];
+    if (!primary.IsPartitioned && primary.Role == "primary" &&
         primary.Promised >= it.Promised)
       copyFrom(primary, it);
     const auto behind = it.Log.size() - it.Applied;
     if (behind > 0 && chance(it.Lag.count() == 0 ? 100 : 3))
       ++it.Applied;
   }
-  after(CopySpacing, [this] { replicate(); });
+  after(CopyInterval, [this] { replicate(); });
 }
 
 void FakeGroup::copyFrom(const FakeInstance &primary, FakeInstance &replica) {
@@ -332,15 +332,15 @@
     highest = std::max(highest, it.Promised);
   const auto term = highest + 1;
   // Two of three are a majority; which two is random.
-  const auto left = Random() % Instances.size();
+  const auto excluded = Random() % Instances.size();
   std::size_t best = Instances.size();
   for (std::size_t n = 0; n < Instances.size(); ++n) {
     auto &it = Instances[n];
-    if (n == left) {
-      it.CutFromGroup = true;
+    if (n == excluded) {
+      it.IsPartitioned = true;
       continue;
     }
-    it.CutFromGroup = false;
+    it.IsPartitioned = false;
     it.Promised = term;
     it.Role = "fenced";
     const auto mark = [&](std::size_t i) {
@@ -354,26 +354,26 @@
     if (primary.Promised != term)
       return;
     primary.Role = "primary";
-    primary.Following = -1;
+    primary.ReplicatesFrom = -1;
     primary.Log.push_back({term, "", 0, "", "", ""});
     primary.Applied = primary.Log.size();
     for (std::size_t n = 0; n < Instances.size(); ++n) {
-      if (n == best || n == left || Instances[n].Promised != term)
+      if (n == best || n == excluded || Instances[n].Promised != term)
         continue;
       Instances[n].Role = "replica";
-      Instances[n].Following = static_cast<int>(best);
+      Instances[n].ReplicatesFrom = static_cast<int>(best);
     }
   });
 }
 
 void FakeGroup::isolate(int instance) {
-  Instances[Index(instance)].Isolated = true;
-  Instances[Index(instance)].CutFromGroup = true;
+  Instances[Index(instance)].IsIsolated = true;
+  Instances[Index(instance)].IsPartitioned = true;
 }
 
 void FakeGroup::reconnect() {
   for (auto &it : Instances) {
-    it.CutFromGroup = it.Isolated = false;
+    it.IsPartitioned = it.IsIsolated = false;
     it.Lag = Duration{0};
   }
 }
@@ -387,7 +387,7 @@
         it.Promised > Instances[Index(primary)].Promised)
       continue;
     it.Role = "replica";
-    it.Following = primary;
+    it.ReplicatesFrom = primary;
   }
 }
 
--- a/src/request/tests/FakeGroup.h
+++ b/src/request/tests/FakeGroup.h
@@ -41,11 +41,11 @@
   std::vector<FakeEntry> Log;
   std::size_t Applied = 0;
   /// Index of the instance that it replicates, or -1.
-  int Following = 0;
+  int ReplicatesFrom = 0;
   /// Unreachable for the other instances.
-  bool CutFromGroup = false;
+  bool IsPartitioned = false;
   /// Unreachable for callers too.
-  bool Isolated = false;
+  bool IsIsolated = false;
   Duration Lag{0};
 
   std::uint64_t logTerm() const { return Log.empty() ? 0 : Log.back().InTerm; }
@@ -73,7 +73,7 @@
   void run(std::uint64_t connection, int instance, const upstream::Batch &batch,
            const Done &done, const Lost &lost);
   /// Drops the connection and rolls back its open transaction.
-  void forget(std::uint64_t connection);
+  void dropConnection(std::uint64_t connection);
 
   /// Fences a majority at the next term and promotes the fenced instance with
   /// the most advanced log.
@@ -104,8 +104,8 @@
 
   struct OpenTransaction {
     int Instance = 0;
-    bool Open = false;
-    bool Failed = false;
+    bool IsOpen = false;
+    bool HasFailed = false;
     std::vector<FakeEntry> Writes;
   };
 
@@ -128,7 +128,7 @@
   settings::DialectSettings Dialect;
   std::mt19937_64 Random;
   TimePoint Now;
-  std::uint64_t Orders = 0;
+  std::uint64_t LastOrder = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> Events;
   std::vector<FakeInstance> Instances;
   std::map<std::uint64_t, OpenTransaction> Transactions;
--- a/src/request/tests/SessionScript.cpp
+++ b/src/request/tests/SessionScript.cpp
@@ -66,7 +66,7 @@
   for (const auto part : absl::StrSplit(script, '\n')) {
     const std::string text(part);
     if (!text.starts_with(">"))
-      line(text);
+      runLine(text);
   }
   while (Output.ends_with("\n\n"))
     Output.pop_back();
@@ -77,19 +77,20 @@
   absl::StrAppend(&Output, text, "\n");
 }
 
-void SessionScript::line(const std::string &text) {
+void SessionScript::runLine(const std::string &text) {
   out(text);
   const Words words = absl::StrSplit(text, ' ', absl::SkipEmpty());
   if (!words.empty() && !text.starts_with("#"))
-    command(words);
+    runCommand(words);
 }
 
-std::string SessionScript::restOf(const Words &words, std::size_t from) const {
+std::string SessionScript::textFrom(const Words &words,
+                                    std::size_t from) const {
   return absl::StrJoin(words.begin() + static_cast<std::ptrdiff_t>(from),
                        words.end(), " ");
 }
 
-void SessionScript::command(const Words &words) {
+void SessionScript::runCommand(const Words &words) {
   const auto &verb = words[0];
   if (verb == "instance") {
     if (Config.Databases.empty())
@@ -112,9 +113,9 @@
     States[InstanceId(words[1])] = state;
   } else if (verb == "silent") {
     if (words[2] == "on")
-      Silent.insert(InstanceId(words[1]));
+      SilentInstances.insert(InstanceId(words[1]));
     else
-      Silent.erase(InstanceId(words[1]));
+      SilentInstances.erase(InstanceId(words[1]));
   } else if (verb == "at") {
     advanceTo(
         TimePoint(milliseconds(static_cast<std::int64_t>(number(words[1])))));
@@ -122,51 +123,52 @@
     reply(words);
   } else if (verb == "again") {
     const auto &sent = Batches.at(words[1]);
-    tell(BatchFinished{sent.Connection, sent.Answer});
+    sendEvent(BatchFinished{sent.Connection, sent.Answer});
   } else if (verb == "lose") {
-    tell(ConnectionLost{Batches.at(words[1]).Connection, "lost"});
+    sendEvent(ConnectionLost{Batches.at(words[1]).Connection, "lost"});
   } else if (verb == "leaving") {
-    tell(InstanceLeaving{Database, InstanceId(words[1]), words[2] == "on"});
+    sendEvent(
+        InstanceLeaving{Database, InstanceId(words[1]), words[2] == "on"});
   } else if (verb == "stop") {
-    tell(StopRequested{});
+    sendEvent(StopRequested{});
   } else {
-    arrive(words);
+    submit(words);
   }
 }
 
 void SessionScript::advanceTo(TimePoint when) {
   if (!Coordinator) {
     Coordinator = makeRequestCoordinator(Config, Seed, Now);
-    tell(TimePassed{});
+    sendEvent(TimePassed{});
   }
   while (Now < when) {
     const auto wake = Coordinator->nextWake();
     Now = wake && *wake > Now ? std::min(*wake, when) : Now + Duration(100);
     Now = std::min(Now, when);
-    tell(TimePassed{});
+    sendEvent(TimePassed{});
   }
 }
 
-void SessionScript::tell(const Event &event) {
-  take(Coordinator->onEvent(event, Now));
-  while (!Soon.empty()) {
-    const auto next = Soon.front();
-    Soon.erase(Soon.begin());
-    take(Coordinator->onEvent(next, Now));
+void SessionScript::sendEvent(const Event &event) {
+  applyEffects(Coordinator->onEvent(event, Now));
+  while (!QueuedEvents.empty()) {
+    const auto next = QueuedEvents.front();
+    QueuedEvents.erase(QueuedEvents.begin());
+    applyEffects(Coordinator->onEvent(next, Now));
   }
 }
 
-bool SessionScript::isQuestion(const upstream::Batch &batch) const {
+bool SessionScript::isPoll(const upstream::Batch &batch) const {
   return batch.Steps.size() == 1 &&
          batch.Steps[0].Sql == Config.Dialect.Observe;
 }
 
-void SessionScript::take(const Effects &effects) {
+void SessionScript::applyEffects(const Effects &effects) {
   for (const auto &it : effects) {
     if (const auto *open = std::get_if<OpenConnection>(&it)) {
       Connections[open->Connection] = open->Instance;
-      if (!Silent.contains(open->Instance))
-        Soon.push_back(ConnectionOpened{open->Connection});
+      if (!SilentInstances.contains(open->Instance))
+        QueuedEvents.push_back(ConnectionOpened{open->Connection});
     } else if (const auto *run = std::get_if<RunBatch>(&it)) {
       show(*run);
     } else if (const auto *sent = std::get_if<SendAnswer>(&it)) {
@@ -182,13 +184,13 @@
 void SessionScript::show(const RunBatch &run) {
   const auto &instance = Connections.at(run.Connection);
   const auto name = absl::StrCat("b", Batches.size() + 1);
-  if (isQuestion(run.Work)) {
-    if (Silent.contains(instance))
+  if (isPoll(run.Work)) {
+    if (SilentInstances.contains(instance))
       return;
     upstream::BatchResult result{run.Work.Id, {}, {}};
     result.Steps.push_back(stepAnswer(Config.Dialect.Observe, instance, ""));
     result.After = upstream::TransactionState::Idle;
-    Soon.push_back(BatchFinished{run.Connection, result});
+    QueuedEvents.push_back(BatchFinished{run.Connection, result});
     return;
   }
   std::vector<std::string> steps;
@@ -228,7 +230,7 @@
     return static_cast<std::uint32_t>(number(words[3]));
   };
   if (words[0] == "read") {
-    ReadCall call{{restOf(words, 4), {}}, std::nullopt};
+    ReadCall call{{textFrom(words, 4), {}}, std::nullopt};
     if (valueOf(words[2]) != "-")
       call.MaxAge =
           milliseconds(static_cast<std::int64_t>(number(valueOf(words[2]))));
@@ -236,12 +238,12 @@
   }
   if (words[0] == "write") {
     const auto key = valueOf(words[2]);
-    return WriteCall{{restOf(words, 4), {}}, key == "-" ? "" : key};
+    return WriteCall{{textFrom(words, 4), {}}, key == "-" ? "" : key};
   }
   if (words[0] == "begin")
     return BeginCall{};
   if (words[0] == "statement")
-    return StatementCall{transaction(), sequence(), {restOf(words, 4), {}}};
+    return StatementCall{transaction(), sequence(), {textFrom(words, 4), {}}};
   if (words[0] == "commit")
     return CommitCall{transaction(), sequence()};
   if (words[0] == "rollback")
@@ -249,7 +251,7 @@
   throw std::runtime_error("unknown command " + words[0]);
 }
 
-void SessionScript::arrive(const Words &words) {
+void SessionScript::submit(const Words &words) {
   CallerRequest request;
   request.Id = RequestId{Names.size() + 1};
   Names[request.Id] = words[1];
@@ -259,7 +261,7 @@
   if (words[0] == "read" || words[0] == "write")
     for (const auto &it : marksOf(valueOf(words[3])))
       request.Marks.add(Database, it);
-  tell(RequestArrived{request});
+  sendEvent(RequestArrived{request});
 }
 
 upstream::StepResult SessionScript::stepAnswer(const std::string &sql,
@@ -303,7 +305,7 @@
   const auto failing = fails ? number(words[3]) : 0;
   const std::string value = !fails && words.size() > 3 ? words[3] : "";
   auto state = upstream::TransactionState::Idle;
-  bool skipping = false;
+  bool isSkipping = false;
   upstream::BatchResult result{sent.Work.Id, {}, {}};
   for (std::size_t n = 0; n < sent.Work.Steps.size(); ++n) {
     const auto &step = sent.Work.Steps[n];
@@ -312,10 +314,10 @@
       answer.Outcome = upstream::StepOutcome::Failed;
       answer.SqlState = words[4];
       answer.Message = "refused";
-      skipping = true;
+      isSkipping = true;
       if (state == upstream::TransactionState::Open)
         state = upstream::TransactionState::Failed;
-    } else if (!skipping) {
+    } else if (!isSkipping) {
       answer = stepAnswer(step.Sql, instance, value);
       if (step.Sql.starts_with("BEGIN"))
         state = upstream::TransactionState::Open;
@@ -323,14 +325,14 @@
         state = upstream::TransactionState::Idle;
     }
     if (step.SyncAfter)
-      skipping = false;
+      isSkipping = false;
     result.Steps.push_back(std::move(answer));
   }
   const bool isPinned = sent.Work.Steps[0].Sql != "ROLLBACK" &&
                         sent.Work.Steps.size() == 1 && !fails;
   result.After = isPinned ? upstream::TransactionState::Open : state;
   sent.Answer = result;
-  tell(BatchFinished{sent.Connection, result});
+  sendEvent(BatchFinished{sent.Connection, result});
 }
 
 } // namespace stepledge::request
--- a/src/request/tests/SessionScript.h
+++ b/src/request/tests/SessionScript.h
@@ -51,21 +51,21 @@
     upstream::BatchResult Answer;
   };
 
-  void line(const std::string &text);
-  void command(const Words &words);
+  void runLine(const std::string &text);
+  void runCommand(const Words &words);
   void advanceTo(TimePoint when);
-  void tell(const Event &event);
-  void take(const Effects &effects);
+  void sendEvent(const Event &event);
+  void applyEffects(const Effects &effects);
   void show(const RunBatch &run);
   void show(const SendAnswer &sent);
-  void arrive(const Words &words);
+  void submit(const Words &words);
   Call callOf(const Words &words) const;
   void reply(const Words &words);
   upstream::StepResult stepAnswer(const std::string &sql,
                                   const InstanceId &instance,
                                   const std::string &value) const;
-  std::string restOf(const Words &words, std::size_t from) const;
-  bool isQuestion(const upstream::Batch &batch) const;
+  std::string textFrom(const Words &words, std::size_t from) const;
+  bool isPoll(const upstream::Batch &batch) const;
   void out(const std::string &text);
 
   settings::Settings Config;
@@ -73,11 +73,11 @@
   TimePoint Now;
   std::map<ConnectionId, InstanceId> Connections;
   std::map<InstanceId, routing::Observation> States;
-  std::set<InstanceId> Silent;
+  std::set<InstanceId> SilentInstances;
   std::map<std::string, SentBatch> Batches;
   std::map<RequestId, std::string> Names;
   std::map<std::string, TransactionId> Transactions;
-  std::vector<Event> Soon;
+  std::vector<Event> QueuedEvents;
   /// The digest that the latest key was inserted with.
   std::string LastDigest;
   std::string Output;
--- a/src/request/types/DecisionRecord.h
+++ b/src/request/types/DecisionRecord.h
@@ -36,12 +36,12 @@
   LookingUpKey,
   KeyAbsent,
   AwaitingMajority,
-  MajorityHolds,
+  MajorityReached,
   Discarded,
   DeadlinePassed,
   PrimarySuspected,
   FencingMajority,
-  PromotingFurthest,
+  PromotingMostAdvanced,
   ReplacementEnded,
 };
 
@@ -49,14 +49,14 @@
 struct Note {
   NoteKind Kind = NoteKind::Admitted;
   InstanceId Instance;
-  Mark At;
+  Mark AtMark;
   std::string Detail;
 };
 
 struct RecordEntry {
   /// Time since the request arrived.
-  Duration After{0};
-  std::variant<Note, routing::RouteDecision> What;
+  Duration Elapsed{0};
+  std::variant<Note, routing::RouteDecision> Content;
 };
 
 struct DecisionRecord {
@@ -65,7 +65,7 @@
   std::string Kind;
   std::vector<RecordEntry> Entries;
   ResultCode Outcome = ResultCode::Done;
-  Duration Took{0};
+  Duration TotalTime{0};
 };
 
 /// The record as sentences: one for each entry, and one for the outcome.
