--- a/src/request/tests/DifferentialTest.cpp
+++ b/src/request/tests/DifferentialTest.cpp
@@ -387,10 +387,10 @@
 void fixSeed() { setenv("RC_PARAMS", "seed=20261202 max_success=150", 0); }
 
 // Seeds whose schedules once violated a guarantee.
-TEST_CASE("Differential_SeedsOfOld") {
+TEST_CASE("Differential_FormerlyFailingSeeds") {
   fixSeed();
   bool isDone = false;
-  const bool holds = rc::check("old failures stay mended", [&isDone] {
+  const bool holds = rc::check("formerly failing seeds pass", [&isDone] {
     if (std::exchange(isDone, true))
       return;
     for (const auto seed :
@@ -402,7 +402,7 @@
 
 TEST_CASE("Differential_SessionsAgainstASingleCopy") {
   fixSeed();
-  const bool holds = rc::check("promises hold under any schedule",
+  const bool holds = rc::check("guarantees hold under any schedule",
                                [](std::uint64_t seed) { Trial(seed).run(); });
   CHECK(holds);
 }
@@ -411,7 +411,7 @@
 TEST_CASE("Differential_ProxiesReplaceThePrimary") {
   fixSeed();
   const bool holds = rc::check(
-      "promises hold while proxies race to replace the primary",
+      "guarantees hold while proxies race to replace the primary",
       [](std::uint64_t seed) { Trial(seed, Replacer::Proxies).run(); });
   CHECK(holds);
 }
