--- a/src/request/internal/DatabaseCoordinator.h
+++ b/src/request/internal/DatabaseCoordinator.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file All requests of one database: takes events, drives the flows.
+/// \file Handles all requests of one database: processes the events and runs
+/// the flows.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_DATABASECOORDINATOR_H
 #define STEPLEDGE_REQUEST_INTERNAL_DATABASECOORDINATOR_H
@@ -21,22 +22,24 @@
 public:
   DatabaseCoordinator(const settings::DatabaseSettings &database,
                       const settings::Settings &common,
-                      ProcessCounters &counters, routing::Random &chance);
+                      ProcessCounters &counters, routing::Random &random);
 
   void arrived(const CallerRequest &request, TimePoint now);
   void opened(ConnectionId connection, TimePoint now);
   void lost(ConnectionId connection, TimePoint now);
   void finished(ConnectionId connection, const upstream::BatchResult &result,
                 TimePoint now);
-  void stop() { Context.Stopping = true; }
+  void stop() { Context.IsStopping = true; }
   void setLeaving(const InstanceId &instance, bool leaving, TimePoint now) {
     Context.View.setLeaving(instance, leaving, now);
   }
 
-  void peerSaid(const PeerOpinion &opinion) { Replacing.peerSaid(opinion); }
+  void receivePeerReport(const PeerOpinion &opinion) {
+    Replacing.receivePeerReport(opinion);
+  }
   bool isPrimarySilent(TimePoint now) const { return Replacing.isSilent(now); }
 
-  /// Does whatever is due; to be called after each event.
+  /// Runs all due work; must be called after each event.
   void advance(TimePoint now);
   Effects takeEffects();
   std::optional<TimePoint> nextWake(TimePoint now) const;
@@ -44,22 +47,22 @@
   bool isServing(TimePoint now) const;
 
 private:
-  bool isEager() const;
+  bool needsFastPolling() const;
   bool accept(ActiveRequest &request, TimePoint now);
   bool start(ActiveRequest &request, TimePoint now);
-  void pump(TimePoint now);
+  void dispatchQueue(TimePoint now);
   void expireQueued(TimePoint now);
   void expireSent(TimePoint now);
   void keepWarm(TimePoint now);
-  /// Gives up what still runs at a primary that has been replaced.
-  void leaveReplacedPrimary(TimePoint now);
-  void loseConnection(ConnectionId connection, TimePoint now);
-  void loseInstance(const InstanceId &instance, TimePoint now);
-  void loseWork(const RunningWork &running, TimePoint now);
+  /// Aborts writes and transactions that still run on a replaced primary.
+  void abortOnReplacedPrimary(TimePoint now);
+  void disconnect(ConnectionId connection, TimePoint now);
+  void disconnectInstance(const InstanceId &instance, TimePoint now);
+  void abortWork(const RunningWork &running, TimePoint now);
 
   DatabaseContext Context;
-  /// The term in which work was last given up on older primaries.
-  Term LeftBefore;
+  /// The newest term for which work on older primaries was aborted.
+  Term AbortedInTerm;
   ObserveFlow Observing;
   ReplacementFlow Replacing;
   ReadFlow Reads;
--- a/src/request/internal/ReadFlow.h
+++ b/src/request/internal/ReadFlow.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Reads: choose an instance, let the proof ride along, judge it.
+/// \file Runs reads: chooses an instance, observes its state in the same
+/// transaction, and checks that the state meets the read's needs.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_READFLOW_H
 #define STEPLEDGE_REQUEST_INTERNAL_READFLOW_H
@@ -26,9 +27,9 @@
   void waitForChange(ActiveRequest &request, ResultCode why, TimePoint now);
   void sendTo(ActiveRequest &request, const InstanceId &instance,
               TimePoint now);
-  void judge(ActiveRequest &request, const InstanceId &instance,
-             const routing::Observation &seen, const upstream::StepResult &step,
-             TimePoint now);
+  void checkProof(ActiveRequest &request, const InstanceId &instance,
+                  const routing::Observation &seen,
+                  const upstream::StepResult &step, TimePoint now);
   std::optional<Duration> ageOf(const routing::Observation &seen,
                                 TimePoint now) const;
   void answer(ActiveRequest &request, const InstanceId &instance,
--- a/src/request/internal/RequestCoordinator.h
+++ b/src/request/internal/RequestCoordinator.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Hands each event to the database it is about.
+/// \file Dispatches each event to the coordinator of its database.
 
 #ifndef STEPLEDGE_REQUEST_INTERNAL_REQUESTCOORDINATOR_H
 #define STEPLEDGE_REQUEST_INTERNAL_REQUESTCOORDINATOR_H
@@ -28,12 +28,13 @@
   bool isServing(TimePoint now) const override;
 
 private:
-  DatabaseCoordinator *byConnection(ConnectionId connection);
+  DatabaseCoordinator *findByConnection(ConnectionId connection);
   void refuseUnknown(const CallerRequest &request, Effects &out);
-  void collect(DatabaseCoordinator &database, TimePoint now, Effects &out);
+  void collectEffects(DatabaseCoordinator &database, TimePoint now,
+                      Effects &out);
 
   const settings::Settings Config;
-  routing::Random Chance;
+  routing::Random Random;
   ProcessCounters Counters;
   std::map<DatabaseId, std::unique_ptr<DatabaseCoordinator>> Databases;
   std::map<ConnectionId, DatabaseCoordinator *> Connections;
--- a/src/request/types/DecisionRecord.h
+++ b/src/request/types/DecisionRecord.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What was decided for one request, and why; kept to be asked about.
+/// \file The decisions made for one request and their reasons, kept for later
+/// queries.
 
 #ifndef STEPLEDGE_REQUEST_TYPES_DECISIONRECORD_H
 #define STEPLEDGE_REQUEST_TYPES_DECISIONRECORD_H
@@ -35,27 +36,27 @@
   LookingUpKey,
   KeyAbsent,
   AwaitingMajority,
-  MajorityHolds,
+  MajorityReached,
   Discarded,
   DeadlinePassed,
   PrimarySuspected,
   FencingMajority,
-  PromotingFurthest,
+  PromotingMostAdvanced,
   ReplacementEnded,
 };
 
-/// One step, with what it was about where that applies.
+/// One step, with the instance and the mark that it concerns, if any.
 struct Note {
   NoteKind Kind = NoteKind::Admitted;
   InstanceId Instance;
-  Mark At;
+  Mark AtMark;
   std::string Detail;
 };
 
 struct RecordEntry {
-  /// Since the request arrived.
-  Duration After{0};
-  std::variant<Note, routing::RouteDecision> What;
+  /// Time since the request arrived.
+  Duration Elapsed{0};
+  std::variant<Note, routing::RouteDecision> Content;
 };
 
 struct DecisionRecord {
@@ -64,10 +65,10 @@
   std::string Kind;
   std::vector<RecordEntry> Entries;
   ResultCode Outcome = ResultCode::Done;
-  Duration Took{0};
+  Duration TotalTime{0};
 };
 
-/// The record in plain sentences, one an entry.
+/// The record as sentences: one for each entry, and one for the outcome.
 std::vector<std::string> describe(const DecisionRecord &record);
 
 } // namespace stepledge::request
