--- a/src/admission/ConcurrencyLimit.cpp
+++ b/src/admission/ConcurrencyLimit.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Slower than this many times the best counts as overloaded.
+/// An answer slower than this many times the best one indicates overload.
 constexpr int SlowFactor = 10;
 /// Differences below this are noise, whatever the factor.
 constexpr Duration Noise = milliseconds(50);
--- a/src/admission/ConcurrencyLimit.h
+++ b/src/admission/ConcurrencyLimit.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file How many statements one instance is given at once: up to the granted
-/// slots while it answers as fast as usual, fewer as it slows down.
+/// \file Limits the statements in flight on one instance: all granted slots
+/// while it answers as fast as usual, fewer as it slows down.
 
 #ifndef STEPLEDGE_ADMISSION_CONCURRENCYLIMIT_H
 #define STEPLEDGE_ADMISSION_CONCURRENCYLIMIT_H
@@ -15,9 +15,9 @@
 public:
   explicit ConcurrencyLimit(int slots) : Slots(slots), Allowed(slots) {}
 
-  /// A statement took \p time while \p inFlight were running.
+  /// Records that a statement took \p time while \p inFlight were running.
   void noteAnswer(Duration time, int inFlight);
-  /// A statement failed for want of an answer.
+  /// Records that a statement got no answer.
   void noteLoss();
 
   /// From 1 to the granted slots.
@@ -26,7 +26,7 @@
 private:
   int Slots;
   double Allowed;
-  /// The best time seen, forgotten slowly.
+  /// The shortest time observed; it slowly decays towards recent times.
   Duration Best{0};
 };
 
--- a/src/admission/RequestQueue.cpp
+++ b/src/admission/RequestQueue.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int ServiceWeight = 8;
-/// Browsing turns to newest-first beyond this part of its limit.
+/// Browsing is served newest first beyond this part of its limit.
 constexpr std::size_t NewestFirstPart = 4;
 
 } // namespace
--- a/src/admission/RequestQueue.h
+++ b/src/admission/RequestQueue.h
@@ -19,9 +19,9 @@
 namespace stepledge::admission {
 
 struct QueueSettings {
-  /// Requests that may wait in each class.
+  /// Maximum number of waiting requests in each class.
   std::size_t Limit = 256;
-  /// Statements that can run at once, for the expected wait.
+  /// Statements that can run at once; used for the expected wait.
   int Slots = 3;
 };
 
@@ -31,10 +31,10 @@
   TimePoint Deadline;
 };
 
-/// Whether a request was let in.
+/// Whether a request was admitted.
 struct Admission {
   ResultCode Code = ResultCode::Done;
-  /// How long it is expected to wait; for a refusal, when to come back.
+  /// The expected wait; for a refusal, the time after which to retry.
   Duration Wait{0};
 };
 
@@ -42,21 +42,21 @@
 public:
   explicit RequestQueue(QueueSettings settings) : Config(settings) {}
 
-  /// Lets \p request in, or refuses it at once: with QueueFull, or with
-  /// DeadlineTooNear where it could not start before its deadline.
+  /// Admits \p request, or refuses it immediately with QueueFull, or with
+  /// DeadlineTooNear if it could not start before its deadline.
   Admission push(const QueuedRequest &request, TimePoint now);
-  /// Puts back a request that was let in before; it goes first in its class.
+  /// Returns an admitted request to the front of its class.
   void putBack(const QueuedRequest &request);
   void remove(RequestId id);
 
-  /// The order in which requests are to be tried: by class, the oldest first;
-  /// browsing newest first once much of it waits, since its oldest are the
-  /// likeliest to be given up on.
+  /// The requests in the order in which to try them: by class, the oldest
+  /// first. Browsing is served newest first once much of it waits, since its
+  /// oldest requests are the most likely to be abandoned.
   std::vector<QueuedRequest> order() const;
-  /// Removes and returns what has passed its deadline.
+  /// Removes and returns the requests whose deadline has passed.
   std::vector<QueuedRequest> takeExpired(TimePoint now);
 
-  /// A statement took this long; shapes the expected wait.
+  /// Records how long a statement took, for the expected wait.
   void noteService(Duration time);
   Duration expectedWait(WorkClass workClass) const;
 
--- a/src/admission/RetryBudget.h
+++ b/src/admission/RetryBudget.h
@@ -1,8 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Lets retries be only a share of the traffic, so that they can't feed
-/// a storm.
+/// \file Limits retries to a share of the traffic, which prevents retry storms.
 
 #ifndef STEPLEDGE_ADMISSION_RETRYBUDGET_H
 #define STEPLEDGE_ADMISSION_RETRYBUDGET_H
@@ -13,13 +12,14 @@
 
 class RetryBudget {
 public:
-  /// \p share of requests may be retries; \p reserve of them may come at once.
+  /// Allows \p share of the requests as retries, and bursts of up to \p reserve
+  /// retries.
   RetryBudget(double share, double reserve)
       : Share(share), Reserve(reserve), Saved(reserve) {}
 
   void noteRequest() { Saved = std::min(Reserve, Saved + Share); }
 
-  /// Takes one retry out of the budget, if there is one.
+  /// Takes one retry from the budget, if one is available.
   bool take() {
     if (Saved < 1.0)
       return false;
--- a/src/admission/types/WorkClass.h
+++ b/src/admission/types/WorkClass.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The classes of work, by falling precedence.
+/// \file The classes of work, in descending precedence.
 
 #ifndef STEPLEDGE_ADMISSION_TYPES_WORKCLASS_H
 #define STEPLEDGE_ADMISSION_TYPES_WORKCLASS_H
@@ -14,9 +14,9 @@
 namespace stepledge::admission {
 
 enum class WorkClass {
-  /// Statements of open transactions: they hold what others wait for.
+  /// Statements of open transactions, which hold resources that others need.
   Transaction,
-  /// Bookings and orders, and the openings of transactions.
+  /// Bookings and orders, and statements that open a transaction.
   Write,
   /// Reads of current data, or of a session that has written.
   SessionRead,
--- a/src/base/KeyDigest.cpp
+++ b/src/base/KeyDigest.cpp
@@ -11,8 +11,8 @@
 
 KeyDigest KeyDigest::of(std::string_view key) {
   static_assert(Size >= crypto_generichash_BYTES_MIN);
-  // NOTE: all VMs must agree, so the digest is bound to its purpose, not to a
-  // process.
+  // NOTE: All VMs must compute the same digest, so it depends on its purpose,
+  // not on the process.
   static constexpr std::string_view Purpose = "stepledge access key";
   static_assert(Purpose.size() >= crypto_generichash_KEYBYTES_MIN);
   KeyDigest digest;
--- a/src/base/KeyDigest.h
+++ b/src/base/KeyDigest.h
@@ -1,8 +1,9 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What stands for a client's key wherever it is compared or passed on:
-/// whoever reads a VM's memory, messages or logs learns no key.
+/// \file The digest of a client's access key. It replaces the key in all
+/// comparisons and messages, so that a VM's memory, messages and logs disclose
+/// no key.
 
 #ifndef STEPLEDGE_BASE_KEYDIGEST_H
 #define STEPLEDGE_BASE_KEYDIGEST_H
@@ -17,14 +18,14 @@
 namespace stepledge {
 
 struct KeyDigest {
-  /// Bytes; too many for two keys to meet by chance or by design.
+  /// In bytes; large enough to exclude collisions by chance or by design.
   static constexpr std::size_t Size = 16;
 
   std::array<std::uint8_t, Size> Bytes{};
   auto operator<=>(const KeyDigest &) const = default;
 
-  /// BLAKE2b of \p key. The time of a look-up by it says nothing of how near
-  /// \p key is to a known one.
+  /// BLAKE2b of \p key. The time of a look-up by digest does not disclose how
+  /// close \p key is to a known one.
   static KeyDigest of(std::string_view key);
 
   std::string toBytes() const;
--- a/src/base/LineBudget.h
+++ b/src/base/LineBudget.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Bounds how many log lines of one kind are written, and counts those
+/// \file Limits how many log lines of one kind are written, and counts those
 /// that are left out.
 
 #ifndef STEPLEDGE_BASE_LINEBUDGET_H
@@ -17,8 +17,8 @@
 
 class LineBudget {
 public:
-  /// How many lines were left out since the last one that was written; nothing
-  /// where this one is to be left out as well.
+  /// The number of lines left out since the last written one; nullopt if this
+  /// line is to be left out as well.
   std::optional<std::uint64_t> take(TimePoint now) {
     if (!WindowStart || now - *WindowStart >= Window) {
       WindowStart = now;
@@ -33,8 +33,8 @@
   }
 
 private:
-  /// Enough to see who sends what, and some 2 KB a second at most, so that a
-  /// caller that repeats a broken message can't fill the disk with lines.
+  /// Enough to identify senders, and at most some 2 KB a second, so that a
+  /// client that repeats a malformed message cannot fill the disk.
   static constexpr int MostLines = 10;
   static constexpr Duration Window = milliseconds(1000);
 
--- a/src/base/ResultTable.h
+++ b/src/base/ResultTable.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What each result code means, and how it travels in an absl::Status.
+/// \file The meaning of each result code, and its representation in an
+/// absl::Status.
 
 #ifndef STEPLEDGE_BASE_RESULTTABLE_H
 #define STEPLEDGE_BASE_RESULTTABLE_H
@@ -26,7 +27,7 @@
   std::string_view Meaning;
 };
 
-/// All rows, by rising code.
+/// All rows, in ascending order of their codes.
 std::span<const ResultRow> resultRows();
 
 /// The row of \p code; each code has one.
@@ -34,10 +35,10 @@
 
 std::string_view nameOf(ResultClass value);
 
-/// A status that carries \p code and a detail in plain words.
+/// A status that carries \p code and a readable \p detail.
 absl::Status makeStatus(ResultCode code, std::string_view detail);
 
-/// The code \p status was made with; Done for an OK status.
+/// The code of a status from makeStatus(); Done for an OK status.
 ResultCode codeOf(const absl::Status &status);
 
 } // namespace stepledge
--- a/src/base/tests/ResultTableTest.cpp
+++ b/src/base/tests/ResultTableTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// The table of result codes is whole, ordered, and equal to its page.
+// The table of result codes is complete, ordered, and equal to its page.
 
 #include "base/ResultTable.h"
 
--- a/src/base/tests/TestMain.cpp
+++ b/src/base/tests/TestMain.cpp
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// The one main() of all test programs. It passes over the test cases that the
-// environment names as known to fail, see tools/test.
+// The main() of all test programs. It skips the test cases that the environment
+// lists as known to fail, see tools/test.
 
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
--- a/src/base/types/Ids.h
+++ b/src/base/types/Ids.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Identifiers of the things the product speaks of, each of its own type.
+/// \file Identifiers, with a separate type for each kind of object.
 
 #ifndef STEPLEDGE_BASE_TYPES_IDS_H
 #define STEPLEDGE_BASE_TYPES_IDS_H
@@ -13,7 +13,7 @@
 
 namespace stepledge {
 
-/// A name from settings; names of different things do not mix.
+/// A name from the settings; names of different kinds are different types.
 template <typename Tag> class NamedId {
 public:
   NamedId() = default;
@@ -38,12 +38,13 @@
 using HallId = NamedId<struct HallTag>;
 /// A customer of the operator, for whom a connection to an instance is opened.
 using OrganisationId = NamedId<struct OrganisationTag>;
-/// Names a decision or request across VMs: "<vm>-<number>".
+/// Identifies a decision or request across VMs: "<vm>-<number>".
 using DecisionId = NamedId<struct DecisionTag>;
-/// Names an open transaction and its owner: "<vm>.<number>.<nonce>".
+/// Identifies an open transaction and its owner: "<vm>.<number>.<nonce>".
 using TransactionId = NamedId<struct TransactionTag>;
 
-/// A number counted by one process; numbers of different things do not mix.
+/// A number issued by one process; numbers of different kinds are different
+/// types.
 template <typename Tag> struct NumberedId {
   std::uint64_t Number = 0;
 
@@ -55,7 +56,7 @@
 };
 
 using RequestId = NumberedId<struct RequestTag>;
-/// Never reused in a process, so a late answer names a connection that is gone.
+/// Never reused in a process, so a late answer cannot match a newer connection.
 using ConnectionId = NumberedId<struct ConnectionTag>;
 using BatchId = NumberedId<struct BatchTag>;
 
--- a/src/base/types/LogPosition.h
+++ b/src/base/types/LogPosition.h
@@ -11,20 +11,21 @@
 
 namespace stepledge {
 
-/// Counts the primaries of a database group; each promotion has a new one.
+/// The number of a primary of a database group; each promotion starts a new
+/// term.
 struct Term {
   std::uint64_t Number = 0;
   auto operator<=>(const Term &) const = default;
 };
 
-/// A place in a database group's log, in the group's own unit.
+/// A position in a database group's log, in the group's own unit.
 struct LogPosition {
   std::uint64_t Offset = 0;
   auto operator<=>(const LogPosition &) const = default;
 };
 
-/// A place in the log together with the term it was written in. The order is
-/// term first, which is also the order in which a new primary is preferred.
+/// A log position with the term in which it was written. Marks are ordered by
+/// term first; a new primary is preferred in the same order.
 struct Mark {
   Term WrittenIn;
   LogPosition Position;
--- a/src/base/types/ResultCode.h
+++ b/src/base/types/ResultCode.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file The numbered result codes, in ranges by module. docs/RESULT_CODES.md
-/// is the same table as text, and a test holds the two equal.
+/// is the same table as text; a test checks that they are equal.
 
 #ifndef STEPLEDGE_BASE_TYPES_RESULTCODE_H
 #define STEPLEDGE_BASE_TYPES_RESULTCODE_H
@@ -81,7 +81,7 @@
   ReplacementGivenUp = 1900,
 };
 
-/// What a result says of the request's effect.
+/// Whether the request took effect.
 enum class ResultClass {
   Ran,
   NotRun,
--- a/src/base/types/Time.h
+++ b/src/base/types/Time.h
@@ -1,7 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Time as the deciding code sees it: always passed in, never read.
+/// \file Time types. Code that makes decisions gets the time as a parameter and
+/// never reads a clock.
 
 #ifndef STEPLEDGE_BASE_TYPES_TIME_H
 #define STEPLEDGE_BASE_TYPES_TIME_H
@@ -13,8 +14,8 @@
 
 using Duration = std::chrono::microseconds;
 
-/// The local monotonic clock. It has no now(): only the daemon's shell reads
-/// the system's clock, and passes the time on.
+/// The local monotonic clock. It has no now(): only the daemon's outer layer
+/// reads the system clock, and passes the time on.
 struct LocalClock {
   using duration = Duration;
   using rep = duration::rep;
--- a/src/failover/ReplacementDriver.cpp
+++ b/src/failover/ReplacementDriver.cpp
@@ -88,13 +88,13 @@
     return;
   if (livePrimary(view, now)) {
     Stage = ReplacementStage::Watching;
-    // NOTE: The primary lives, so nobody needs to be asked.
+    // NOTE: The primary answers, so the other halls need not be asked.
     if (isStranded(view, now) || isLeaving(view, now))
       beginFencing(view, now);
     return;
   }
-  // NOTE: Without a majority in reach nothing could be promoted, and to fence
-  // the rest would only harm.
+  // NOTE: Without a reachable majority no instance could be promoted, and
+  // fencing the others would only do harm.
   if (reachable(view, now) < view.majority())
     return;
   if (Stage == ReplacementStage::Watching) {
@@ -136,13 +136,13 @@
 
 void ReplacementDriver::fence(const GroupView &view, TimePoint now,
                               std::vector<ReplacementOrder> &out) {
-  // NOTE: Somebody else got further; to go on would undo their work.
+  // NOTE: Another VM got further; continuing would undo its work.
   if (highestPromise(view) > Next)
     return rest(now + Config.Suspect);
   const InstanceState *best = nullptr;
   int fenced = 0;
-  // NOTE: Any majority of the group holds all that was acknowledged, so the
-  // furthest of those that stay will do, where they are one.
+  // NOTE: Any majority of the group has everything that was acknowledged, so
+  // the instances that stay suffice if they are a majority.
   const auto staying = candidates(view);
   for (const auto &[id, state] : view.all()) {
     if (!staying.contains(id))
@@ -176,8 +176,8 @@
   out.push_back(PromoteInstance{Chosen, Next});
 }
 
-// Whoever lags in promises is told to follow the primary that a majority
-// has promised to; that is safe for any VM to say, any number of times.
+// Orders every instance with an older promise to follow the primary that a
+// majority has promised to. Any VM may repeat this order at any time.
 void ReplacementDriver::attach(const GroupView &view, TimePoint now,
                                std::vector<ReplacementOrder> &out) const {
   const auto primary = livePrimary(view, now);
@@ -207,7 +207,7 @@
   return static_cast<int>(staying.size()) >= view.majority() ? staying : all;
 }
 
-// Only worth while where somebody that stays can take over.
+// Only useful if an instance that stays can be promoted.
 bool ReplacementDriver::isLeaving(const GroupView &view, TimePoint now) const {
   const auto primary = livePrimary(view, now);
   const auto leaving = view.leavingFor(*primary, now);
--- a/src/failover/ReplacementDriver.h
+++ b/src/failover/ReplacementDriver.h
@@ -1,10 +1,10 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Replaces the lost primary of one database group. Any VM may drive: a
-/// majority of the instances decides, by the terms that they promise. What
-/// has been done is read from the instances alone, so a driver that dies
-/// leaves nothing behind that another can't go on from.
+/// \file Replaces the lost primary of one database group. Any VM may run the
+/// replacement: a majority of the instances decides by the terms that they
+/// promise. Its progress is read from the instances alone, so another VM can
+/// continue if the VM that runs it fails.
 
 #ifndef STEPLEDGE_FAILOVER_REPLACEMENTDRIVER_H
 #define STEPLEDGE_FAILOVER_REPLACEMENTDRIVER_H
@@ -21,26 +21,26 @@
 namespace stepledge::failover {
 
 struct DriverSettings {
-  /// A primary silent for this long is suspected.
+  /// A primary that has not answered for this long is suspected.
   Duration Suspect = milliseconds(250);
-  /// Later by this much for each place in the order of VMs, so that usually
-  /// one drives.
+  /// Added delay for each rank, so that usually one VM runs the replacement.
   Duration Stagger = milliseconds(60);
   int Rank = 0;
-  /// Between questions to the other halls, which may notice a little later.
+  /// Between queries to the other halls, which may detect the loss a little
+  /// later.
   Duration AskAgain = milliseconds(25);
-  /// VMs in other halls that must agree; 0 where there are none.
+  /// VMs in other halls that must agree; 0 if there are none.
   int AgreementNeeded = 1;
-  /// An attempt that got no further is begun again.
+  /// An attempt that makes no progress for this long is restarted.
   Duration Attempt = milliseconds(1500);
-  /// After a replacement, before the next one.
+  /// Minimum time between two replacements.
   Duration Rest = milliseconds(3000);
-  /// An instance that promised a later term than the primary's, and so
-  /// follows nobody, is brought back by a new term after this long.
+  /// An instance that promised a later term than the primary's, and so follows
+  /// no primary, is brought back by a new term after this long.
   Duration Stranded = milliseconds(3000);
-  /// A primary known to be leaving for this long is replaced.
+  /// A primary that has been leaving for this long is replaced.
   Duration Leave = milliseconds(1650);
-  /// An instance silent for this long counts as out of reach.
+  /// An instance that has not answered for this long counts as unreachable.
   Duration Silence = milliseconds(600);
 };
 
@@ -49,18 +49,19 @@
   ReplacementDriver(DriverSettings settings, TermAllotment terms)
       : Config(settings), Terms(terms) {}
 
-  /// What to do now. Orders are given again until the view shows them done.
+  /// The orders for now. They are repeated until the view shows them done.
   std::vector<ReplacementOrder> tick(const routing::GroupView &view,
                                      TimePoint now);
 
-  /// A VM in another hall says whether it hears the primary of \p term.
+  /// Records whether a VM in another hall receives no answers from the primary
+  /// of \p term.
   void peerSaid(const VmId &peer, Term term, bool isSilent);
 
-  /// Whether no primary has been heard of for as long as makes it suspect.
+  /// Whether no primary has answered within the suspect time.
   bool isSilent(const routing::GroupView &view, TimePoint now) const;
 
   ReplacementStage stage() const { return Stage; }
-  /// Whether the instances should be asked more often than usual.
+  /// Whether the instances should be observed more often than usual.
   bool isEager() const { return Stage != ReplacementStage::Watching; }
 
 private:
@@ -78,8 +79,8 @@
   void rest(TimePoint until);
   bool isReachable(const routing::InstanceState &state, TimePoint now) const;
   bool isLeaving(const routing::GroupView &view, TimePoint now) const;
-  /// The instances that may be promoted: those that stay, where they are a
-  /// majority by themselves.
+  /// The instances that may be promoted: those that are not leaving if they are
+  /// a majority, else all.
   std::set<InstanceId> candidates(const routing::GroupView &view) const;
   bool isStranded(const routing::GroupView &view, TimePoint now);
   std::optional<InstanceId> livePrimary(const routing::GroupView &view,
--- a/src/failover/TermAllotment.h
+++ b/src/failover/TermAllotment.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Terms that only one VM may give out.
+/// \file Terms that only one VM may issue.
 
 #ifndef STEPLEDGE_FAILOVER_TERMALLOTMENT_H
 #define STEPLEDGE_FAILOVER_TERMALLOTMENT_H
@@ -12,20 +12,20 @@
 
 namespace stepledge::failover {
 
-/// Each VM has a number of its own and gives out only the terms that leave it
-/// as the remainder. So two VMs that replace a primary at the same moment can
-/// never promote two instances in one term, without asking anybody.
+/// Each VM has a unique number and issues only the terms that leave this number
+/// as remainder modulo Numbers. So two VMs that replace a primary at the same
+/// time never promote two instances in one term, without any coordination.
 class TermAllotment {
 public:
-  /// VM numbers are from 1 to this, less one.
+  /// VM numbers are from 1 to Numbers - 1.
   static constexpr std::uint64_t Numbers = 4096;
 
   explicit TermAllotment(std::uint64_t vmNumber) : VmNumber(vmNumber) {}
 
-  /// Without a number no term may be given out.
+  /// A VM without a number issues no terms.
   bool isAllowed() const { return VmNumber != 0; }
 
-  /// The least term of this VM beyond \p term.
+  /// The lowest term of this VM above \p term.
   Term after(Term term) const {
     const auto round = term.Number / Numbers;
     const auto same = round * Numbers + VmNumber;
--- a/src/failover/tests/ReplacementDriverTest.cpp
+++ b/src/failover/tests/ReplacementDriverTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// When a primary is replaced, by whom, and by which instance.
+// When a primary is replaced, by which VM, and by which instance.
 
 #include "failover/ReplacementDriver.h"
 
@@ -52,7 +52,7 @@
     return Driver.tick(View, at(ms));
   }
 
-  /// Up to the moment when the other halls have agreed.
+  /// Runs the driver until the other halls have agreed.
   void suspect() {
     replicasAt(400);
     tick(400);
@@ -134,7 +134,7 @@
 }
 
 TEST_CASE("ReplacementDriver_TermGoesBeforePosition") {
-  // A longer log of an older term is a branch that was lost.
+  // A longer log of an older term is a lost branch.
   Fixture fixture;
   fixture.see(One, InstanceRole::Primary, 3, 30, 100,
               {{Term{1}, {0}}, {Term{3}, {20}}});
@@ -160,7 +160,7 @@
 }
 
 TEST_CASE("ReplacementDriver_AnotherGoesOnWhereADriverDied") {
-  // Fenced by VM 9, which was lost before it promoted.
+  // VM 9 fenced a majority and failed before it promoted an instance.
   Fixture fixture;
   fixture.see(Two, InstanceRole::Fenced, 9, 50, 400);
   fixture.see(Three, InstanceRole::Fenced, 9, 49, 400);
@@ -205,7 +205,7 @@
   CHECK(fixture.Driver.stage() == ReplacementStage::Watching);
   see(1700);
   fixture.tick(1700);
-  // The leaving one is not fenced: the others are a majority.
+  // The leaving instance is not fenced: the others are a majority.
   CHECK(fixture.tick(1701) ==
         Orders{FenceInstance{Three, Term{7}}, FenceInstance{Two, Term{7}}});
   fixture.see(Two, InstanceRole::Fenced, 7, 50, 1705);
--- a/src/failover/types/ReplacementOrder.h
+++ b/src/failover/types/ReplacementOrder.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a replacement of a primary wants done.
+/// \file The orders and stages of the replacement of a primary.
 
 #ifndef STEPLEDGE_FAILOVER_TYPES_REPLACEMENTORDER_H
 #define STEPLEDGE_FAILOVER_TYPES_REPLACEMENTORDER_H
@@ -15,14 +15,14 @@
 
 namespace stepledge::failover {
 
-/// Promise \p Next and follow nobody until told whom.
+/// Promise \p Next and follow no primary until ordered to.
 struct FenceInstance {
   InstanceId Instance;
   Term Next;
   bool operator==(const FenceInstance &) const = default;
 };
 
-/// Become the primary of \p Next, which it must have promised.
+/// Become the primary of \p Next, which the instance must have promised.
 struct PromoteInstance {
   InstanceId Instance;
   Term Next;
@@ -37,7 +37,8 @@
   bool operator==(const FollowPrimary &) const = default;
 };
 
-/// Ask the other VMs whether they hear the primary of \p Current.
+/// Ask the other VMs whether they receive answers from the primary of \p
+/// Current.
 struct AskPeers {
   Term Current;
   bool operator==(const AskPeers &) const = default;
@@ -49,11 +50,11 @@
 enum class ReplacementStage {
   /// There is a primary, or no reason yet to replace it.
   Watching,
-  /// It has been silent for too long here; other halls are asked.
+  /// The primary has not answered here for too long; other halls are asked.
   Asking,
   /// A majority is to promise a new term.
   Fencing,
-  /// The furthest of the fenced is to become primary.
+  /// The fenced instance with the furthest log is to become primary.
   Promoting,
 };
 
--- a/src/routing/GroupView.cpp
+++ b/src/routing/GroupView.cpp
@@ -29,7 +29,8 @@
   if (it == States.end())
     return;
   auto &state = it->second;
-  // NOTE: Answers on several connections may cross; an older one adds nothing.
+  // NOTE: Answers on several connections may arrive out of order; an older one
+  // is ignored.
   if (state.Seen && askedAt < state.AskedAt)
     return;
   learnHistory(observation);
@@ -46,9 +47,9 @@
     state.Lag += (*age - state.Lag) / LagWeight;
 }
 
-// NOTE: A primary that was lost before a majority held anything of its term
-// leaves a term that the next one's log lacks. So the history is that of the
-// newest log alone, and never a union.
+// NOTE: A primary that is lost before a majority has an entry of its term
+// leaves a term that the next primary's log lacks. So the history is that of
+// the newest log alone, never a union of several.
 void GroupView::learnHistory(const Observation &observation) {
   if (observation.LogTerm < CurrentTerm || observation.History.empty())
     return;
@@ -83,7 +84,7 @@
   noteLeaving(it->second, now);
 }
 
-// The most cautious word wins.
+// The instance is leaving if either flag is set.
 void GroupView::noteLeaving(InstanceState &state, TimePoint now) {
   if (!state.Leaving && !state.Last.Leaving)
     state.LeavingSince.reset();
@@ -108,8 +109,8 @@
     }
     if (position < last.Position)
       return;
-    // NOTE: Under many writes, samples closer than the spacing take the
-    // place of the one before, which only makes ages look greater.
+    // NOTE: At a high write rate, a sample within the spacing replaces the one
+    // before, which can only overestimate ages.
     const bool close =
         Samples.size() > 1 &&
         askedAt - Samples[Samples.size() - 2].FirstSeen < SampleSpacing;
@@ -180,8 +181,8 @@
   if (after == Samples.begin())
     return std::nullopt;
   if (applied.WrittenIn < CurrentTerm) {
-    // NOTE: A log that went on past the place where a later term began shows
-    // what was lost; no age makes that right.
+    // NOTE: A log that continued past the start of a later term has entries
+    // that were lost, so no age is valid for it.
     const auto kept =
         History.includes({CurrentTerm, applied.Position}, applied);
     if (kept != session::Inclusion::Included)
@@ -189,8 +190,8 @@
   }
   const auto &sample = *std::prev(after);
   auto freshAt = sample.LastSeen;
-  // NOTE: A primary that was replaced while this hall was cut off still
-  // answers here. Only a majority's word proves that its log was the newest.
+  // NOTE: A primary that was replaced while this hall was partitioned still
+  // answers here. Only a majority's promises prove that its log was the newest.
   if (sample.Position.WrittenIn == CurrentTerm) {
     const auto confirmed = confirmedAt(CurrentTerm);
     if (!confirmed)
--- a/src/routing/GroupView.h
+++ b/src/routing/GroupView.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What this process knows of one database group. All times are of the
-/// local monotonic clock; no other machine's clock is trusted.
+/// \file The state of one database group as this process has observed it. All
+/// times are of the local monotonic clock; no other machine's clock is used.
 
 #ifndef STEPLEDGE_ROUTING_GROUPVIEW_H
 #define STEPLEDGE_ROUTING_GROUPVIEW_H
@@ -19,23 +19,24 @@
 
 namespace stepledge::routing {
 
-/// The last that is known of one instance.
+/// The last observed state of one instance.
 struct InstanceState {
   Observation Last;
   bool Seen = false;
-  /// When the question was sent that Last answers.
+  /// When the query was sent that Last answers.
   TimePoint AskedAt;
-  /// When it last answered anything.
+  /// When the instance last answered a query.
   TimePoint HeardAt;
-  /// When it was last known to have promised Last.Promised and no more.
+  /// The send time of the last query that showed Last.Promised as the highest
+  /// term that the instance has promised.
   TimePoint PromiseSeenAt;
-  /// How far its reads are behind the primary, smoothed.
+  /// How far the applied data of the instance is behind the primary, smoothed.
   Duration Lag{0};
-  /// An operator or the platform wants it to get no new work.
+  /// Set by an operator or the platform: the instance gets no new work.
   bool Leaving = false;
-  /// Since when that, or its own word, has been known.
+  /// Since when Leaving has been set here or reported by the instance.
   std::optional<TimePoint> LeavingSince;
-  /// From 1 (in order) down towards 0 (ejected) as it fails.
+  /// From 1 (healthy) down towards 0 (ejected); each failure lowers it.
   double Health = 1.0;
 };
 
@@ -43,16 +44,15 @@
 public:
   explicit GroupView(const std::vector<InstanceId> &instances);
 
-  /// Takes in an answer to a question sent at \p askedAt.
+  /// Records the answer to a query that was sent at \p askedAt.
   void observe(const InstanceId &instance, const Observation &observation,
                TimePoint askedAt, TimePoint now);
-  /// Takes in that a request to it failed, or went well.
+  /// Record that a request to the instance failed or succeeded.
   void noteFailure(const InstanceId &instance);
   void noteSuccess(const InstanceId &instance);
 
   void setLeaving(const InstanceId &instance, bool leaving, TimePoint now);
-  /// How long it has been known that the instance is to leave; none if it
-  /// isn't.
+  /// How long \p instance has been leaving; nullopt if it is not.
   std::optional<Duration> leavingFor(const InstanceId &instance,
                                      TimePoint now) const;
 
@@ -60,37 +60,36 @@
   const std::map<InstanceId, InstanceState> &all() const { return States; }
   const session::TermHistory &history() const { return History; }
 
-  /// The instance last seen as primary of the highest term, unless a
+  /// The instance last observed as primary of the highest term, unless a
   /// majority has promised a higher one.
   std::optional<InstanceId> primary() const;
-  /// The highest term any instance was seen to write in or to promise as
-  /// primary.
+  /// The highest term among the last log entries of the observed instances.
   Term term() const { return CurrentTerm; }
 
-  /// When, at the latest, a majority was known to have promised \p term and
-  /// no higher one. Until then no later term had acknowledged anything.
+  /// The latest time at which a majority was observed to have promised \p term
+  /// and no higher one. Until then, no later term had acknowledged anything.
   std::optional<TimePoint> confirmedAt(Term term) const;
 
-  /// An upper bound of the age of reads at \p applied; none where the
-  /// primary was never seen that far back, or \p applied is on a lost branch.
+  /// An upper bound of the age of reads at \p applied; nullopt if the primary
+  /// was not observed that far back, or if \p applied is on a lost branch.
   std::optional<Duration> ageOf(Mark applied, TimePoint now) const;
 
-  /// When the primary was first seen to include \p mark.
+  /// When the primary was first observed to include \p mark.
   std::optional<TimePoint> reachedAt(Mark mark) const;
 
-  /// Instances of the current term whose logs hold \p mark.
+  /// The number of instances of the current term whose logs include \p mark.
   int holders(Mark mark) const;
   int majority() const { return static_cast<int>(States.size()) / 2 + 1; }
-  /// Whether no loss of a minority can undo \p mark.
+  /// Whether \p mark survives the loss of any minority.
   bool isHeldByMajority(Mark mark) const;
-  /// Whether a replacement has undone \p mark for good. A new primary's word
-  /// alone does not prove it: while only a minority holds the new term's
-  /// beginning, its loss may bring the old log back.
+  /// Whether a replacement has permanently discarded \p mark. The new primary's
+  /// report alone does not prove it: while only a minority has the start of the
+  /// new term, its loss may bring the old log back.
   bool isDiscarded(Mark mark) const;
 
 private:
-  /// The primary was at Position from FirstSeen to LastSeen, both of them
-  /// times at which a question was sent.
+  /// The primary was at Position from FirstSeen to LastSeen; both are times at
+  /// which a query was sent.
   struct Sample {
     Mark Position;
     TimePoint FirstSeen;
--- a/src/routing/Observation.cpp
+++ b/src/routing/Observation.cpp
@@ -5,7 +5,7 @@
 
 namespace stepledge::routing {
 
-// The last term whose start is before what has been applied.
+// The term is the last one that starts before the applied position.
 Mark Observation::appliedMark() const {
   Term term = History.empty() ? LogTerm : History.front().Began;
   for (const auto &it : History)
--- a/src/routing/ReadRouter.cpp
+++ b/src/routing/ReadRouter.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Health below which an instance is left out while another one will do.
+/// An instance below this health is not chosen while another one is eligible.
 constexpr double EjectedBelow = 0.1;
-/// A replica seen behind is not expected to have caught up any sooner.
+/// Minimum time in which a replica that was behind is expected to catch up.
 constexpr Duration LeastCatchUp = milliseconds(1);
 
 Duration costOf(const InstanceLoad &load, double health) {
@@ -21,8 +21,8 @@
       static_cast<double>(cost.count() + 1) / std::max(health, 0.01)));
 }
 
-/// Of two instances picked by chance, the cheaper one. Looking at two and not
-/// at all keeps many VMs from choosing the same one together.
+/// Picks two candidates at random and returns the cheaper one. Comparing two of
+/// them instead of all keeps many VMs from choosing the same instance at once.
 std::size_t pickOfTwo(const std::vector<std::size_t> &candidates,
                       const std::vector<Consideration> &considered,
                       Random &random) {
@@ -90,8 +90,8 @@
       view.history().includesAll(state.Last.appliedMark(), need.Marks);
   if (kept == session::Inclusion::Lost)
     return {Verdict::HistoryLost, {}};
-  // NOTE: A mark of the primary's own term is in its log, however old this
-  // process's last look at it; a mark of a later term is not.
+  // NOTE: A mark of the primary's own term is in its log, even if the last
+  // observation is older than the mark; a mark of a later term is not.
   const bool isOlder =
       std::any_of(need.Marks.begin(), need.Marks.end(), [&](const Mark &it) {
         return it.WrittenIn > state.Last.Promised;
@@ -105,8 +105,8 @@
                                             TimePoint now) const {
   const auto applied = state.Last.appliedMark();
   const auto age = view.ageOf(applied, now);
-  // NOTE: The replica has gone on since it was last looked at, so its usual
-  // lag counts as well; the proof that rides with the read has the last word.
+  // NOTE: The replica has advanced since its last observation, so its usual lag
+  // counts as well; the proof returned with the read decides.
   const bool fresh = age && std::min(*age, state.Lag) <= need.MaxAge;
   if (!fresh)
     return {Verdict::TooOld, {}};
@@ -119,7 +119,8 @@
             {}};
   const auto newest = std::max_element(need.Marks.begin(), need.Marks.end());
   const auto reached = view.reachedAt(*newest).value_or(now);
-  // NOTE: It was behind when last asked, whatever its usual lag says.
+  // NOTE: The replica was behind at its last observation, whatever its usual
+  // lag is.
   const auto usual = reached + state.Lag + state.Lag / 4;
   const auto caughtUp =
       std::max(usual, state.AskedAt + state.Lag / 4 + LeastCatchUp);
@@ -157,7 +158,7 @@
   }
   auto &considered = decision.Considered;
 
-  // NOTE: Where all that would do are ejected, they are used all the same.
+  // NOTE: If all usable instances are ejected, they are eligible again.
   if (eligibleIn(considered).empty())
     for (auto &it : considered)
       if (it.Said == Verdict::Ejected)
--- a/src/routing/ReadRouter.h
+++ b/src/routing/ReadRouter.h
@@ -15,21 +15,21 @@
 namespace stepledge::routing {
 
 struct RouterSettings {
-  /// An instance silent for this long is not chosen.
+  /// An instance that has not answered for this long is not chosen.
   Duration Silence = milliseconds(600);
-  /// How lately a majority must have confirmed the primary.
+  /// Maximum age of a majority's confirmation of the primary.
   Duration PrimaryConfirm = milliseconds(1000);
-  /// A leaving primary is read from for this long yet.
+  /// How long a leaving primary still serves reads.
   Duration LeaveGrace = milliseconds(1500);
   /// How long a read may wait for a replica to catch up.
   Duration CatchUp = milliseconds(50);
 };
 
 using Loads = std::map<InstanceId, InstanceLoad>;
-/// Passed in, so that a decision can be had again from its seed.
+/// Passed in, so that a decision can be reproduced from its seed.
 using Random = std::mt19937_64;
 
-/// What the instance said with a read, held against what the read needs.
+/// Whether the position returned with a read satisfies the read.
 enum class Proof {
   Holds,
   Behind,
@@ -45,14 +45,14 @@
   RouteDecision choose(const ReadNeed &need, const GroupView &view,
                        const Loads &loads, TimePoint now, Random &random) const;
 
-  /// Judges the position that rode along with the read.
+  /// Checks \p seen, which the instance returned with the read.
   Proof prove(const ReadNeed &need, const GroupView &view,
               const Observation &seen, TimePoint now) const;
 
 private:
   struct Judged {
     Verdict Said;
-    /// Behind now, but expected to have caught up by then.
+    /// When an instance that is behind now is expected to have caught up.
     std::optional<TimePoint> CatchesUpAt;
   };
 
--- a/src/routing/tests/GroupViewTest.cpp
+++ b/src/routing/tests/GroupViewTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// Ages, majorities and terms as one process sees them.
+// Ages, majorities and terms in the view of one process.
 
 #include "routing/GroupView.h"
 
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE("GroupView_ReplacedPrimaryInACutHallGrowsOld") {
-  // Only the old primary answers here; nobody confirms that it still is one.
+  // Only the old primary answers; no majority confirms that it still is one.
   auto view = threeInstances();
   view.observe(Two, said(InstanceRole::Replica, 1, 5), at(100), at(101));
   view.observe(One, said(InstanceRole::Primary, 1, 5), at(100), at(101));
@@ -106,8 +106,8 @@
 }
 
 TEST_CASE("GroupView_OldTermsLogDoesNotCount") {
-  // A replica that promised term 2 but whose log is still of term 1 may yet
-  // be cut back.
+  // The log of a replica that promised term 2 but still ends in term 1 may be
+  // truncated later.
   auto view = threeInstances();
   view.observe(One, said(InstanceRole::Primary, 2, 11, TwoTerms), at(100),
                at(101));
@@ -124,8 +124,8 @@
 }
 
 TEST_CASE("GroupView_OrphanedTermIsForgotten") {
-  // Term 2 began at 10 on instance One alone and was lost with it; term 3
-  // began at 12 on a log that never saw term 2.
+  // Term 2 began at 10 on instance One alone and was lost with it; term 3 began
+  // at 12 on a log without term 2.
   auto view = threeInstances();
   view.observe(One, said(InstanceRole::Primary, 2, 11, TwoTerms), at(100),
                at(101));
--- a/src/routing/tests/ReadRouterTest.cpp
+++ b/src/routing/tests/ReadRouterTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// Which instance answers a read, and what the proof says afterwards.
+// Which instance answers a read, and the result of the proof afterwards.
 
 #include "routing/ReadRouter.h"
 
--- a/src/routing/types/Observation.h
+++ b/src/routing/types/Observation.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What an instance says of itself.
+/// \file The state that an instance reports.
 
 #ifndef STEPLEDGE_ROUTING_TYPES_OBSERVATION_H
 #define STEPLEDGE_ROUTING_TYPES_OBSERVATION_H
@@ -18,7 +18,7 @@
   Unknown,
   Primary,
   Replica,
-  /// It has promised a new term and follows nobody yet.
+  /// Has promised a new term and follows no primary yet.
   Fenced,
 };
 
@@ -36,19 +36,19 @@
   bool operator==(const TermStart &) const = default;
 };
 
-/// One answer to the dialect's `observe` text.
+/// One answer to the dialect's `observe` query.
 struct Observation {
   InstanceRole Role = InstanceRole::Unknown;
   /// The highest term the instance has promised to follow.
   Term Promised;
   /// The term of the last entry of its log.
   Term LogTerm;
-  /// What would survive its restart.
+  /// The last position that survives a restart of the instance.
   LogPosition Durable;
-  /// What its reads show.
+  /// The last position that reads on the instance include.
   LogPosition Applied;
   bool Leaving = false;
-  /// Every term of its log, without a gap.
+  /// Every term of the log, without a gap.
   std::vector<TermStart> History;
 
   Mark durableMark() const { return {LogTerm, Durable}; }
--- a/src/routing/types/RouteDecision.h
+++ b/src/routing/types/RouteDecision.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a read needs, and which instance was chosen for it, and why.
+/// \file What a read requires, and the instance chosen for it with the reasons.
 
 #ifndef STEPLEDGE_ROUTING_TYPES_ROUTEDECISION_H
 #define STEPLEDGE_ROUTING_TYPES_ROUTEDECISION_H
@@ -20,25 +20,25 @@
 
 namespace stepledge::routing {
 
-/// What one read asks for.
+/// The requirements of one read.
 struct ReadNeed {
   session::DatabaseMarks Marks;
-  /// 0 asks for the primary's current data.
+  /// 0 requires the primary's current data.
   Duration MaxAge{0};
   TimePoint Deadline;
-  /// Instances whose proof failed for this read already.
+  /// Instances that already failed the proof for this read.
   std::set<InstanceId> Tried;
 
   bool isCurrent() const { return MaxAge.count() == 0; }
 };
 
-/// What this process can do with one instance now.
+/// The current load and capacity of one instance, as this process has them.
 struct InstanceLoad {
-  /// A connection and a slot are free.
+  /// Whether a connection and a slot are free.
   bool CanStart = false;
   int InFlight = 0;
   Duration ServiceTime{0};
-  /// One way.
+  /// One-way network time.
   Duration Distance{0};
 };
 
@@ -74,12 +74,12 @@
     {Verdict::Tried, "was tried for this read and was behind"},
 });
 
-/// One instance as it looked when the decision was made.
+/// The verdict on one instance at the time of the decision.
 struct Consideration {
   InstanceId Instance;
   Verdict Said = Verdict::Silent;
   std::optional<Duration> Age;
-  /// Expected time to the answer, for those that would do.
+  /// Expected time to the answer; set only for eligible instances.
   Duration Cost{0};
 };
 
@@ -87,21 +87,21 @@
   InstanceId Instance;
 };
 
-/// A replica is expected to have caught up by then.
+/// Wait until a replica is expected to have caught up.
 struct WaitForCatchUp {
   InstanceId Instance;
   TimePoint Until;
 };
 
-/// Something would do, but has no free connection or slot.
+/// An instance is eligible, but has no free connection or slot.
 struct WaitForCapacity {};
 
-/// Nothing will do now; it may later, until the deadline.
+/// No instance is eligible now; one may be before the deadline.
 struct WaitForChange {
   ResultCode Why = ResultCode::NoInstanceFreshEnough;
 };
 
-/// Nothing will ever do.
+/// No instance will ever be eligible.
 struct RefuseRead {
   ResultCode Why = ResultCode::HistoryLost;
 };
--- a/src/session/ITokenCodec.h
+++ b/src/session/ITokenCodec.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Session tokens in and out of their text form.
+/// \file Encodes and decodes session tokens.
 
 #ifndef STEPLEDGE_SESSION_ITOKENCODEC_H
 #define STEPLEDGE_SESSION_ITOKENCODEC_H
@@ -26,7 +26,7 @@
   /// The marks of one token. Errors: TokenBroken, TokenForged, TokenTooLarge.
   virtual absl::StatusOr<SessionMarks> decode(std::string_view token) const = 0;
 
-  /// The merged marks of several tokens; one bad token fails all.
+  /// The merged marks of several tokens; an error in one token fails the call.
   virtual absl::StatusOr<SessionMarks>
   decodeAll(const std::vector<std::string> &tokens) const = 0;
 };
--- a/src/session/SessionModule.h
+++ b/src/session/SessionModule.h
@@ -15,7 +15,7 @@
 namespace stepledge::session {
 
 /// A codec that signs with the first of \p keys and accepts all of them, so
-/// that a key can be replaced while the old one's tokens are about.
+/// that a key can be replaced while tokens of the old one are in use.
 std::unique_ptr<ITokenCodec>
 makeTokenCodec(const std::vector<settings::SessionKey> &keys,
                const settings::LimitSettings &limits);
--- a/src/session/TermHistory.cpp
+++ b/src/session/TermHistory.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Terms kept; older ones are only of use to sessions long past.
+/// Maximum number of terms; only long ended sessions refer to older ones.
 constexpr std::size_t TermsKept = 1024;
 
 } // namespace
@@ -28,8 +28,8 @@
 }
 
 Inclusion TermHistory::carriesOver(Mark mark, Term upTo) const {
-  // NOTE: An instance reports the terms of its log without a gap, so where
-  // both ends are known all between are.
+  // NOTE: An instance reports the terms of its log without a gap, so if both
+  // ends are known, all terms in between are too.
   if (!startOf(upTo) || !startOf(mark.WrittenIn))
     return Inclusion::Unproved;
   for (auto it = Starts.upper_bound(mark.WrittenIn);
--- a/src/session/TermHistory.h
+++ b/src/session/TermHistory.h
@@ -1,8 +1,8 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Where each term of a database group began, and what that says of a
-/// mark or of an instance's log.
+/// \file Where each term of a database group began, to tell whether a log
+/// includes a mark.
 
 #ifndef STEPLEDGE_SESSION_TERMHISTORY_H
 #define STEPLEDGE_SESSION_TERMHISTORY_H
@@ -18,32 +18,33 @@
 /// Whether one point of the log includes another.
 enum class Inclusion {
   Included,
-  /// It may come to include it later.
+  /// The other point may be included later.
   Behind,
-  /// It never will: the other was lost in a replacement.
+  /// It will never be included: a replacement discarded it.
   Lost,
-  /// The starts of some terms between are not known here.
+  /// The starts of some terms in between are unknown.
   Unproved,
 };
 
 class TermHistory {
 public:
-  /// Term \p term began after \p start, the last position of the log before.
-  /// To be called for all terms of one instance's log, without a gap.
+  /// Records that \p term began after \p start, the last position of the
+  /// previous term. Must be called for all terms of one instance's log, without
+  /// a gap.
   void learn(Term term, LogPosition start);
 
-  /// Forgets all; for when another log turns out to be the newest.
+  /// Removes all terms, for when another log proves to be the newest.
   void clear() { Starts.clear(); }
 
   std::optional<LogPosition> startOf(Term term) const;
 
-  /// Whether a log that has got to \p at includes \p mark.
+  /// Whether a log that has reached \p at includes \p mark.
   Inclusion includes(Mark at, Mark mark) const;
   /// The worst of includes() over \p marks.
   Inclusion includesAll(Mark at, const DatabaseMarks &marks) const;
 
 private:
-  /// Whether what stood at \p mark was kept by every term up to \p upTo.
+  /// Whether every term up to \p upTo kept the log entry at \p mark.
   Inclusion carriesOver(Mark mark, Term upTo) const;
 
   std::map<Term, LogPosition> Starts;
--- a/src/session/tests/SessionTest.cpp
+++ b/src/session/tests/SessionTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// Tokens keep what a session saw, and a lost history is never hidden.
+// Tokens keep all marks of a session, and merging never hides a lost history.
 
 #include "base/ResultTable.h"
 #include "session/SessionModule.h"
@@ -64,8 +64,8 @@
     auto changed = token;
     changed[n] = changed[n] == 'A' ? 'B' : 'A';
     const auto read = codec->decode(changed);
-    // NOTE: The last character's spare bits may not count; the marks must
-    // then be the same.
+    // NOTE: The unused bits of the last character may be ignored; the marks
+    // must then be the same.
     if (read.ok())
       CHECK(*read == marks);
   }
--- a/src/session/types/SessionMarks.h
+++ b/src/session/types/SessionMarks.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file What a session has seen of each database.
+/// \file The log positions that a session has seen, by database.
 
 #ifndef STEPLEDGE_SESSION_TYPES_SESSIONMARKS_H
 #define STEPLEDGE_SESSION_TYPES_SESSIONMARKS_H
@@ -14,9 +14,9 @@
 
 namespace stepledge::session {
 
-/// The marks of one database: the highest position of each term, by rising
-/// term. More than one term is kept until an instance proves that the older
-/// ones carried over, so that merging never hides a lost history.
+/// The marks of one database: the highest position of each term, by ascending
+/// term. Older terms are kept until an instance proves that its log includes
+/// them, so that merging never hides a lost history.
 using DatabaseMarks = std::vector<Mark>;
 
 class SessionMarks {
@@ -25,8 +25,8 @@
   void add(const DatabaseId &database, Mark mark);
   /// Adds all of \p other.
   void merge(const SessionMarks &other);
-  /// Puts \p mark in place of all marks of \p database. Only for a mark that
-  /// is proved to include them.
+  /// Replaces all marks of \p database by \p mark, which must be proved to
+  /// include them.
   void replace(const DatabaseId &database, Mark mark);
 
   /// The marks of \p database; empty where the session has seen nothing.
--- a/src/settings/SettingsModule.cpp
+++ b/src/settings/SettingsModule.cpp
@@ -39,7 +39,7 @@
   reader.requiredId("id", instance.Id);
   reader.requiredId("hall", instance.Hall);
   reader.requiredEndpoint("address", instance.Address);
-  // NOTE: One connection is the monitoring one, so at least two are needed.
+  // NOTE: One connection is used for monitoring, so at least two are needed.
   reader.optionalNumber("connections", {2, 10000}, instance.Connections);
   reader.optionalNumber("slots", {1, 10000}, instance.Slots);
   for (const auto &it : database.Instances)
@@ -151,7 +151,7 @@
     reader.fault("silence_ms", "must be at least twice observe_ms");
 }
 
-// NOTE: Two VMs with one number could promote two instances in one term.
+// NOTE: Two VMs with the same number could promote two instances in one term.
 bool isNumberTaken(const Settings &settings, std::uint64_t number) {
   if (number == 0)
     return false;
--- a/src/settings/SettingsModule.h
+++ b/src/settings/SettingsModule.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Reading and checking settings.
+/// \file Reads and checks settings.
 
 #ifndef STEPLEDGE_SETTINGS_SETTINGSMODULE_H
 #define STEPLEDGE_SETTINGS_SETTINGSMODULE_H
@@ -15,7 +15,7 @@
 
 namespace stepledge::settings {
 
-/// What came of reading settings: usable only without faults.
+/// The result of reading settings; usable only without faults.
 struct SettingsReport {
   Settings Checked;
   std::vector<SettingsFault> Faults;
@@ -29,7 +29,7 @@
 /// The same for a file.
 SettingsReport loadSettings(const std::string &path);
 
-/// One line a fault: "FILE:LINE: TEXT".
+/// One line per fault: "FILE:LINE: TEXT".
 std::string describeFaults(const std::string &path,
                            const std::vector<SettingsFault> &faults);
 
--- a/src/settings/internal/TableReader.h
+++ b/src/settings/internal/TableReader.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Reads the keys of one TOML table, noting faults and unread keys.
+/// \file Reads the keys of one TOML table, and records faults and unknown keys.
 
 #ifndef STEPLEDGE_SETTINGS_INTERNAL_TABLEREADER_H
 #define STEPLEDGE_SETTINGS_INTERNAL_TABLEREADER_H
@@ -22,7 +22,7 @@
 
 namespace stepledge::settings {
 
-/// A whole number's allowed range.
+/// The allowed range of a whole number.
 struct Range {
   std::int64_t Least = 0;
   std::int64_t Most = std::numeric_limits<std::int32_t>::max();
@@ -60,13 +60,13 @@
   using Visit = std::function<void(TableReader &)>;
   void table(std::string_view key, const Visit &visit);
   void tables(std::string_view key, const Visit &visit);
-  /// Each key of the table with a whole number of milliseconds.
+  /// Passes each key of the table, with its whole number of milliseconds.
   void
   durations(std::string_view key,
             const std::function<void(const std::string &, Duration)> &take);
 
   void fault(std::string_view key, const std::string &text);
-  /// Faults every key that was not asked for.
+  /// Adds a fault for every key that was not read.
   void finish();
 
 private:
--- a/src/settings/tests/SettingsTest.cpp
+++ b/src/settings/tests/SettingsTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// Settings are checked whole: every fault at once, each with its line.
+// All faults of the settings are reported at once, each with its line.
 
 #include "settings/SettingsModule.h"
 
--- a/src/settings/types/Settings.h
+++ b/src/settings/types/Settings.h
@@ -26,7 +26,7 @@
   auto operator<=>(const Endpoint &) const = default;
 };
 
-/// Whose word a write waits for before it is acknowledged.
+/// Whose confirmation a write waits for before it is acknowledged.
 enum class AcknowledgeMode {
   /// A majority of the group's instances; no acknowledged write is lost.
   Majority,
@@ -38,30 +38,30 @@
   InstanceId Id;
   HallId Hall;
   Endpoint Address;
-  /// Connections this process may hold, with the monitoring one.
+  /// Maximum connections of this process, including the monitoring one.
   int Connections = 0;
-  /// Statements this process may have in flight.
+  /// Maximum statements of this process in flight.
   int Slots = 0;
 };
 
 struct DatabaseSettings {
   DatabaseId Id;
-  /// The name and user the instances know it by.
+  /// Name and user of the database on the instances.
   std::string Name;
   std::string User;
   std::string Password;
   /// libpq's sslmode.
   std::string Tls = "prefer";
   AcknowledgeMode Acknowledge = AcknowledgeMode::Majority;
-  /// How old data may be for a read that states no age; 0 means the
-  /// primary's.
+  /// Maximum age of data for a read that states none; 0 requires the primary's
+  /// current data.
   Duration ReadMaxAge{0};
   std::vector<InstanceSettings> Instances;
 };
 
-/// The SQL texts by which a site's database group is asked and told.
+/// The SQL texts that observe and control a site's database group.
 struct DialectSettings {
-  /// One row: role, term, log_term, durable, applied, leaving, history.
+  /// Returns one row: role, term, log_term, durable, applied, leaving, history.
   std::string Observe = "SELECT standin('role') AS role, standin('term') AS "
                         "term, standin('log_term') AS log_term, "
                         "standin('durable') AS durable, standin('applied') AS "
@@ -81,7 +81,7 @@
       "SELECT digest, result FROM stepledge_request WHERE key = $1";
 };
 
-/// What one request may ask for, and how much may wait.
+/// Limits of one request and of the queue.
 struct LimitSettings {
   std::size_t BodyBytes = 256 * 1024;
   std::size_t StatementBytes = 64 * 1024;
@@ -95,24 +95,24 @@
   /// Waiting requests per database and class.
   std::size_t Queue = 256;
   std::size_t Transactions = 8;
-  /// Retries may be this share of requests.
+  /// Maximum share of retries among requests.
   double RetryShare = 0.1;
 };
 
 struct TimingSettings {
   Duration Observe = milliseconds(100);
-  /// An instance silent for this long is not chosen.
+  /// An instance that has not answered for this long is not chosen.
   Duration Silence = milliseconds(600);
   Duration DefaultDeadline = milliseconds(2000);
   Duration LongestDeadline = milliseconds(30000);
   Duration TransactionIdle = milliseconds(5000);
   Duration TransactionTotal = milliseconds(30000);
-  /// How lately a majority must have confirmed the primary for a read of
+  /// Maximum age of a majority's confirmation of the primary for a read of
   /// current data.
   Duration PrimaryConfirm = milliseconds(1000);
   /// How long a read may wait for a replica to catch up.
   Duration CatchUp = milliseconds(50);
-  /// From the stop signal to closing the listener, for the balancer.
+  /// From the stop signal until the listener is closed, for the load balancer.
   Duration DrainNotice = milliseconds(1000);
   Duration ForwardLimit = milliseconds(5000);
 };
@@ -127,29 +127,29 @@
   VmId Vm;
   HallId Hall;
   Endpoint Mesh;
-  /// As VmNumber below, of that VM.
+  /// The VmNumber of that VM, see Settings.
   std::uint64_t Number = 0;
 };
 
 struct FailoverSettings {
   bool Enabled = true;
-  /// A primary silent for this long is suspected.
+  /// A primary that has not answered for this long is suspected.
   Duration Suspect = milliseconds(250);
-  /// VMs act one after another by this much, so that usually one does.
+  /// VMs act one after another with this delay, so that usually one does.
   Duration Stagger = milliseconds(60);
-  /// After a replacement, before this VM begins the next one.
+  /// Minimum time from a replacement until this VM begins the next one.
   Duration Rest = milliseconds(3000);
-  /// A leaving primary opens no new transactions, and takes writes and reads
-  /// for this long yet.
+  /// A leaving primary opens no new transactions, and still takes writes and
+  /// reads for this long.
   Duration LeaveGrace = milliseconds(1500);
-  /// Then new work is held for this long, so that what runs can end, before
-  /// another instance is promoted.
+  /// After that, new work waits for this long, so that running work can end
+  /// before another instance is promoted.
   Duration LeaveHold = milliseconds(150);
 };
 
 struct Settings {
   VmId Vm;
-  /// This VM's own among all VMs, from 1; it gives out the terms that leave
+  /// The unique number of this VM, from 1; the VM issues the terms that leave
   /// it as remainder. 0: the VM never replaces a primary.
   std::uint64_t VmNumber = 0;
   HallId Hall;
@@ -157,9 +157,9 @@
   Endpoint Callers;
   Endpoint Mesh;
   std::vector<PeerSettings> Peers;
-  /// The first signs; all are accepted.
+  /// The first key signs; all are accepted.
   std::vector<SessionKey> SessionKeys;
-  /// One-way time from this VM's hall; absent halls count as far.
+  /// One-way time from this VM's hall; a hall that is not listed counts as far.
   std::map<HallId, Duration> Distances;
   std::vector<DatabaseSettings> Databases;
   DialectSettings Dialect;
--- a/src/settings/types/SettingsFault.h
+++ b/src/settings/types/SettingsFault.h
@@ -12,7 +12,7 @@
 namespace stepledge::settings {
 
 struct SettingsFault {
-  /// From 1; 0 where the fault is that something is missing from the file.
+  /// From 1; 0 if the fault is that something is missing from the file.
   std::uint32_t Line = 0;
   std::string Text;
 };
