--- a/src/admission/ConcurrencyLimit.cpp
+++ b/src/admission/ConcurrencyLimit.cpp
@@ -12,32 +12,33 @@
 /// An answer slower than this many times the best one indicates overload.
 constexpr int SlowFactor = 10;
 /// Differences below this are noise, whatever the factor.
-constexpr Duration Noise = milliseconds(50);
-constexpr double Decrease = 0.9;
+constexpr Duration NoiseThreshold = milliseconds(50);
+constexpr double SlowDecrease = 0.9;
 constexpr double LossDecrease = 0.5;
-constexpr int ForgetPart = 256;
+constexpr int BestTimeDecay = 256;
 
 } // namespace
 
 void ConcurrencyLimit::noteAnswer(Duration time, int inFlight) {
-  if (Best.count() == 0 || time < Best)
-    Best = time;
+  if (BestTime.count() == 0 || time < BestTime)
+    BestTime = time;
   else
-    Best += (time - Best) / ForgetPart;
-  const bool slow = time > SlowFactor * Best && time - Best > Noise;
-  if (slow)
-    Allowed *= Decrease;
+    BestTime += (time - BestTime) / BestTimeDecay;
+  const bool isSlow =
+      time > SlowFactor * BestTime && time - BestTime > NoiseThreshold;
+  if (isSlow)
+    CurrentLimit *= SlowDecrease;
   else if (inFlight >= limit())
-    Allowed += 1.0 / Allowed;
-  Allowed = std::clamp(Allowed, 1.0, static_cast<double>(Slots));
+    CurrentLimit += 1.0 / CurrentLimit;
+  CurrentLimit = std::clamp(CurrentLimit, 1.0, static_cast<double>(Slots));
 }
 
 void ConcurrencyLimit::noteLoss() {
-  Allowed = std::max(1.0, Allowed * LossDecrease);
+  CurrentLimit = std::max(1.0, CurrentLimit * LossDecrease);
 }
 
 int ConcurrencyLimit::limit() const {
-  return std::clamp(static_cast<int>(Allowed), 1, Slots);
+  return std::clamp(static_cast<int>(CurrentLimit), 1, Slots);
 }
 
 } // namespace stepledge::admission
--- a/src/admission/ConcurrencyLimit.h
+++ b/src/admission/ConcurrencyLimit.h
@@ -13,7 +13,7 @@
 
 class ConcurrencyLimit {
 public:
-  explicit ConcurrencyLimit(int slots) : Slots(slots), Allowed(slots) {}
+  explicit ConcurrencyLimit(int slots) : Slots(slots), CurrentLimit(slots) {}
 
   /// Records that a statement took \p time while \p inFlight were running.
   void noteAnswer(Duration time, int inFlight);
@@ -25,9 +25,9 @@
 
 private:
   int Slots;
-  double Allowed;
+  double CurrentLimit;
   /// The shortest time observed; it slowly decays towards recent times.
-  Duration Best{0};
+  Duration BestTime{0};
 };
 
 } // namespace stepledge::admission
--- a/src/admission/RequestQueue.h
+++ b/src/admission/RequestQueue.h
@@ -65,18 +65,18 @@
   std::optional<TimePoint> nextDeadline() const;
 
 private:
-  using Line = std::deque<QueuedRequest>;
+  using ClassQueue = std::deque<QueuedRequest>;
 
-  Line &lineOf(WorkClass workClass) {
-    return Lines[static_cast<std::size_t>(workClass)];
+  ClassQueue &queueOf(WorkClass workClass) {
+    return Queues[static_cast<std::size_t>(workClass)];
   }
-  const Line &lineOf(WorkClass workClass) const {
-    return Lines[static_cast<std::size_t>(workClass)];
+  const ClassQueue &queueOf(WorkClass workClass) const {
+    return Queues[static_cast<std::size_t>(workClass)];
   }
 
   QueueSettings Config;
-  std::array<Line, WorkClasses> Lines;
-  Duration Service{1000};
+  std::array<ClassQueue, WorkClasses> Queues;
+  Duration ServiceTime{1000};
 };
 
 } // namespace stepledge::admission
--- a/src/admission/RetryBudget.h
+++ b/src/admission/RetryBudget.h
@@ -15,22 +15,22 @@
   /// Allows \p share of the requests as retries, and bursts of up to \p reserve
   /// retries.
   RetryBudget(double share, double reserve)
-      : Share(share), Reserve(reserve), Saved(reserve) {}
+      : Share(share), Reserve(reserve), Available(reserve) {}
 
-  void noteRequest() { Saved = std::min(Reserve, Saved + Share); }
+  void noteRequest() { Available = std::min(Reserve, Available + Share); }
 
   /// Takes one retry from the budget, if one is available.
   bool take() {
-    if (Saved < 1.0)
+    if (Available < 1.0)
       return false;
-    Saved -= 1.0;
+    Available -= 1.0;
     return true;
   }
 
 private:
   double Share;
   double Reserve;
-  double Saved;
+  double Available;
 };
 
 } // namespace stepledge::admission
--- a/src/base/LineBudget.h
+++ b/src/base/LineBudget.h
@@ -24,7 +24,7 @@
       WindowStart = now;
       Written = 0;
     }
-    if (Written >= MostLines) {
+    if (Written >= MaxLines) {
       ++LeftOut;
       return std::nullopt;
     }
@@ -35,7 +35,7 @@
 private:
   /// Enough to identify senders, and at most some 2 KB a second, so that a
   /// client that repeats a malformed message cannot fill the disk.
-  static constexpr int MostLines = 10;
+  static constexpr int MaxLines = 10;
   static constexpr Duration Window = milliseconds(1000);
 
   std::optional<TimePoint> WindowStart;
--- a/src/failover/ReplacementDriver.cpp
+++ b/src/failover/ReplacementDriver.cpp
@@ -32,15 +32,17 @@
   return state.Seen && now - state.HeardAt <= Config.Silence;
 }
 
-int ReplacementDriver::reachable(const GroupView &view, TimePoint now) const {
+int ReplacementDriver::reachableCount(const GroupView &view,
+                                      TimePoint now) const {
   return static_cast<int>(
       std::count_if(view.all().begin(), view.all().end(), [&](const auto &it) {
         return now - it.second.HeardAt <= Config.Suspect && it.second.Seen;
       }));
 }
 
-std::optional<InstanceId> ReplacementDriver::livePrimary(const GroupView &view,
-                                                         TimePoint now) const {
+std::optional<InstanceId>
+ReplacementDriver::answeringPrimary(const GroupView &view,
+                                    TimePoint now) const {
   auto primary = view.primary();
   if (!primary || now - view.of(*primary).HeardAt > Config.Suspect)
     return std::nullopt;
@@ -48,16 +50,16 @@
 }
 
 bool ReplacementDriver::isSilent(const GroupView &view, TimePoint now) const {
-  return !livePrimary(view, now).has_value();
+  return !answeringPrimary(view, now).has_value();
 }
 
 std::vector<ReplacementOrder> ReplacementDriver::tick(const GroupView &view,
                                                       TimePoint now) {
   std::vector<ReplacementOrder> out;
-  const bool isStuck =
-      Stage != ReplacementStage::Watching && now - StageSince > Config.Attempt;
+  const bool isStuck = Stage != ReplacementStage::Watching &&
+                       now - StageSince > Config.AttemptTimeout;
   if (isStuck)
-    rest(now);
+    endAttempt(now);
   switch (Stage) {
   case ReplacementStage::Watching:
   case ReplacementStage::Asking:
@@ -70,75 +72,75 @@
     promote(view, now, out);
     break;
   }
-  attach(view, now, out);
+  orderFollowers(view, now, out);
   return out;
 }
 
-void ReplacementDriver::rest(TimePoint until) {
+void ReplacementDriver::endAttempt(TimePoint until) {
   Stage = ReplacementStage::Watching;
-  RestUntil = until;
+  PausedUntil = until;
   StrandedSince.reset();
-  Agreed.clear();
-  Disagreed.clear();
+  AgreeingPeers.clear();
+  DisagreeingPeers.clear();
 }
 
 void ReplacementDriver::watch(const GroupView &view, TimePoint now,
                               std::vector<ReplacementOrder> &out) {
-  if (!Terms.isAllowed() || now < RestUntil)
+  if (!Terms.canIssue() || now < PausedUntil)
     return;
-  if (livePrimary(view, now)) {
+  if (answeringPrimary(view, now)) {
     Stage = ReplacementStage::Watching;
     // NOTE: The primary answers, so the other halls need not be asked.
-    if (isStranded(view, now) || isLeaving(view, now))
+    if (hasStrandedInstance(view, now) || isPrimaryLeaving(view, now))
       beginFencing(view, now);
     return;
   }
   // NOTE: Without a reachable majority no instance could be promoted, and
   // fencing the others would only do harm.
-  if (reachable(view, now) < view.majority())
+  if (reachableCount(view, now) < view.majority())
     return;
   if (Stage == ReplacementStage::Watching) {
     const auto primary = view.primary();
-    const auto since = primary ? view.of(*primary).HeardAt : RestUntil;
+    const auto since = primary ? view.of(*primary).HeardAt : PausedUntil;
     if (now - since < Config.Suspect + Config.Rank * Config.Stagger)
       return;
     Stage = ReplacementStage::Asking;
     StageSince = now;
-    ask(view, now, out);
+    askPeers(view, now, out);
   }
-  if (static_cast<int>(Agreed.size()) >= Config.AgreementNeeded &&
-      Disagreed.empty())
+  if (static_cast<int>(AgreeingPeers.size()) >= Config.AgreementNeeded &&
+      DisagreeingPeers.empty())
     return beginFencing(view, now);
-  if (now - AskedAt >= Config.AskAgain)
-    ask(view, now, out);
+  if (now - AskedAt >= Config.AskInterval)
+    askPeers(view, now, out);
 }
 
-void ReplacementDriver::ask(const GroupView &view, TimePoint now,
-                            std::vector<ReplacementOrder> &out) {
+void ReplacementDriver::askPeers(const GroupView &view, TimePoint now,
+                                 std::vector<ReplacementOrder> &out) {
   AskedAt = now;
-  Suspected = view.term();
-  Agreed.clear();
-  Disagreed.clear();
-  out.push_back(AskPeers{Suspected});
+  SuspectedTerm = view.term();
+  AgreeingPeers.clear();
+  DisagreeingPeers.clear();
+  out.push_back(AskPeers{SuspectedTerm});
 }
 
 void ReplacementDriver::peerSaid(const VmId &peer, Term term, bool isSilent) {
-  if (Stage != ReplacementStage::Asking || term != Suspected)
+  if (Stage != ReplacementStage::Asking || term != SuspectedTerm)
     return;
-  (isSilent ? Agreed : Disagreed).insert(peer);
+  (isSilent ? AgreeingPeers : DisagreeingPeers).insert(peer);
 }
 
 void ReplacementDriver::beginFencing(const GroupView &view, TimePoint now) {
   Stage = ReplacementStage::Fencing;
   StageSince = now;
-  Next = Terms.after(highestPromise(view));
+  NextTerm = Terms.after(highestPromise(view));
 }
 
 void ReplacementDriver::fence(const GroupView &view, TimePoint now,
                               std::vector<ReplacementOrder> &out) {
   // NOTE: Another VM got further; continuing would undo its work.
-  if (highestPromise(view) > Next)
-    return rest(now + Config.Suspect);
+  if (highestPromise(view) > NextTerm)
+    return endAttempt(now + Config.Suspect);
   const InstanceState *best = nullptr;
   int fenced = 0;
   // NOTE: Any majority of the group has everything that was acknowledged, so
@@ -147,15 +149,15 @@
   for (const auto &[id, state] : view.all()) {
     if (!staying.contains(id))
       continue;
-    if (isReachable(state, now) && state.Last.Promised < Next)
-      out.push_back(FenceInstance{id, Next});
-    if (!isFencedAt(state, Next))
+    if (isReachable(state, now) && state.Last.Promised < NextTerm)
+      out.push_back(FenceInstance{id, NextTerm});
+    if (!isFencedAt(state, NextTerm))
       continue;
     ++fenced;
     if (best == nullptr ||
         state.Last.durableMark() > best->Last.durableMark()) {
       best = &state;
-      Chosen = id;
+      ChosenInstance = id;
     }
   }
   if (fenced < view.majority())
@@ -168,20 +170,21 @@
 
 void ReplacementDriver::promote(const GroupView &view, TimePoint now,
                                 std::vector<ReplacementOrder> &out) {
-  const auto &last = view.of(Chosen).Last;
-  if (highestPromise(view) > Next)
-    return rest(now + Config.Suspect);
-  if (last.Role == InstanceRole::Primary && last.Promised == Next)
-    return rest(now + Config.Rest);
-  out.push_back(PromoteInstance{Chosen, Next});
+  const auto &last = view.of(ChosenInstance).Last;
+  if (highestPromise(view) > NextTerm)
+    return endAttempt(now + Config.Suspect);
+  if (last.Role == InstanceRole::Primary && last.Promised == NextTerm)
+    return endAttempt(now + Config.Rest);
+  out.push_back(PromoteInstance{ChosenInstance, NextTerm});
 }
 
 // Orders every instance with an older promise to follow the primary that a
 // majority has promised to. Any VM may repeat this order at any time.
-void ReplacementDriver::attach(const GroupView &view, TimePoint now,
-                               std::vector<ReplacementOrder> &out) const {
-  const auto primary = livePrimary(view, now);
-  if (!Terms.isAllowed() || !primary)
+void ReplacementDriver::orderFollowers(
+    const GroupView &view, TimePoint now,
+    std::vector<ReplacementOrder> &out) const {
+  const auto primary = answeringPrimary(view, now);
+  if (!Terms.canIssue() || !primary)
     return;
   const auto term = view.of(*primary).Last.Promised;
   for (const auto &[id, state] : view.all()) {
@@ -208,28 +211,31 @@
 }
 
 // Only useful if an instance that stays can be promoted.
-bool ReplacementDriver::isLeaving(const GroupView &view, TimePoint now) const {
-  const auto primary = livePrimary(view, now);
+bool ReplacementDriver::isPrimaryLeaving(const GroupView &view,
+                                         TimePoint now) const {
+  const auto primary = answeringPrimary(view, now);
   const auto leaving = view.leavingFor(*primary, now);
   return leaving && *leaving >= Config.Leave + Config.Rank * Config.Stagger &&
          !candidates(view).contains(*primary) &&
-         reachable(view, now) >= view.majority();
+         reachableCount(view, now) >= view.majority();
 }
 
-bool ReplacementDriver::isStranded(const GroupView &view, TimePoint now) {
-  const auto primary = livePrimary(view, now);
+bool ReplacementDriver::hasStrandedInstance(const GroupView &view,
+                                            TimePoint now) {
+  const auto primary = answeringPrimary(view, now);
   const auto term = view.of(*primary).Last.Promised;
-  const bool any =
+  const bool hasLaterPromise =
       std::any_of(view.all().begin(), view.all().end(), [&](const auto &it) {
         return isReachable(it.second, now) && it.second.Last.Promised > term;
       });
-  if (!any) {
+  if (!hasLaterPromise) {
     StrandedSince.reset();
     return false;
   }
   if (!StrandedSince)
     StrandedSince = now;
-  return now - *StrandedSince >= Config.Stranded + Config.Rank * Config.Stagger;
+  return now - *StrandedSince >=
+         Config.StrandedTimeout + Config.Rank * Config.Stagger;
 }
 
 } // namespace stepledge::failover
--- a/src/failover/ReplacementDriver.h
+++ b/src/failover/ReplacementDriver.h
@@ -28,16 +28,16 @@
   int Rank = 0;
   /// Between queries to the other halls, which may detect the loss a little
   /// later.
-  Duration AskAgain = milliseconds(25);
+  Duration AskInterval = milliseconds(25);
   /// VMs in other halls that must agree; 0 if there are none.
   int AgreementNeeded = 1;
   /// An attempt that makes no progress for this long is restarted.
-  Duration Attempt = milliseconds(1500);
+  Duration AttemptTimeout = milliseconds(1500);
   /// Minimum time between two replacements.
   Duration Rest = milliseconds(3000);
   /// An instance that promised a later term than the primary's, and so follows
   /// no primary, is brought back by a new term after this long.
-  Duration Stranded = milliseconds(3000);
+  Duration StrandedTimeout = milliseconds(3000);
   /// A primary that has been leaving for this long is replaced.
   Duration Leave = milliseconds(1650);
   /// An instance that has not answered for this long counts as unreachable.
@@ -67,37 +67,37 @@
 private:
   void watch(const routing::GroupView &view, TimePoint now,
              std::vector<ReplacementOrder> &out);
-  void ask(const routing::GroupView &view, TimePoint now,
-           std::vector<ReplacementOrder> &out);
+  void askPeers(const routing::GroupView &view, TimePoint now,
+                std::vector<ReplacementOrder> &out);
   void beginFencing(const routing::GroupView &view, TimePoint now);
   void fence(const routing::GroupView &view, TimePoint now,
              std::vector<ReplacementOrder> &out);
   void promote(const routing::GroupView &view, TimePoint now,
                std::vector<ReplacementOrder> &out);
-  void attach(const routing::GroupView &view, TimePoint now,
-              std::vector<ReplacementOrder> &out) const;
-  void rest(TimePoint until);
+  void orderFollowers(const routing::GroupView &view, TimePoint now,
+                      std::vector<ReplacementOrder> &out) const;
+  void endAttempt(TimePoint until);
   bool isReachable(const routing::InstanceState &state, TimePoint now) const;
-  bool isLeaving(const routing::GroupView &view, TimePoint now) const;
+  bool isPrimaryLeaving(const routing::GroupView &view, TimePoint now) const;
   /// The instances that may be promoted: those that are not leaving if they are
   /// a majority, else all.
   std::set<InstanceId> candidates(const routing::GroupView &view) const;
-  bool isStranded(const routing::GroupView &view, TimePoint now);
-  std::optional<InstanceId> livePrimary(const routing::GroupView &view,
-                                        TimePoint now) const;
-  int reachable(const routing::GroupView &view, TimePoint now) const;
+  bool hasStrandedInstance(const routing::GroupView &view, TimePoint now);
+  std::optional<InstanceId> answeringPrimary(const routing::GroupView &view,
+                                             TimePoint now) const;
+  int reachableCount(const routing::GroupView &view, TimePoint now) const;
 
   DriverSettings Config;
   TermAllotment Terms;
   ReplacementStage Stage = ReplacementStage::Watching;
-  Term Suspected;
-  Term Next;
-  InstanceId Chosen;
-  std::set<VmId> Agreed;
-  std::set<VmId> Disagreed;
+  Term SuspectedTerm;
+  Term NextTerm;
+  InstanceId ChosenInstance;
+  std::set<VmId> AgreeingPeers;
+  std::set<VmId> DisagreeingPeers;
   TimePoint StageSince;
   TimePoint AskedAt;
-  TimePoint RestUntil;
+  TimePoint PausedUntil;
   std::optional<TimePoint> StrandedSince;
 };
 
--- a/src/failover/TermAllotment.h
+++ b/src/failover/TermAllotment.h
@@ -18,21 +18,21 @@
 class TermAllotment {
 public:
   /// VM numbers are from 1 to Numbers - 1.
-  static constexpr std::uint64_t Numbers = 4096;
+  static constexpr std::uint64_t VmNumberLimit = 4096;
 
   explicit TermAllotment(std::uint64_t vmNumber) : VmNumber(vmNumber) {}
 
   /// A VM without a number issues no terms.
-  bool isAllowed() const { return VmNumber != 0; }
+  bool canIssue() const { return VmNumber != 0; }
 
   /// The lowest term of this VM above \p term.
   Term after(Term term) const {
-    const auto round = term.Number / Numbers;
-    const auto same = round * Numbers + VmNumber;
-    return Term{same > term.Number ? same : same + Numbers};
+    const auto round = term.Number / VmNumberLimit;
+    const auto same = round * VmNumberLimit + VmNumber;
+    return Term{same > term.Number ? same : same + VmNumberLimit};
   }
 
-  bool owns(Term term) const { return term.Number % Numbers == VmNumber; }
+  bool owns(Term term) const { return term.Number % VmNumberLimit == VmNumber; }
 
 private:
   std::uint64_t VmNumber;
--- a/src/failover/tests/ReplacementDriverTest.cpp
+++ b/src/failover/tests/ReplacementDriverTest.cpp
@@ -26,14 +26,14 @@
   ReplacementDriver Driver{Settings, TermAllotment(7)};
 
   Fixture() {
-    see(One, InstanceRole::Primary, 1, 50, 0);
-    see(Two, InstanceRole::Replica, 1, 50, 0);
-    see(Three, InstanceRole::Replica, 1, 49, 0);
+    observe(One, InstanceRole::Primary, 1, 50, 0);
+    observe(Two, InstanceRole::Replica, 1, 50, 0);
+    observe(Three, InstanceRole::Replica, 1, 49, 0);
   }
 
-  void see(const InstanceId &instance, InstanceRole role, std::uint64_t term,
-           std::uint64_t position, std::int64_t ms,
-           std::vector<routing::TermStart> history = {{Term{1}, {0}}}) {
+  void observe(const InstanceId &instance, InstanceRole role,
+               std::uint64_t term, std::uint64_t position, std::int64_t ms,
+               std::vector<routing::TermStart> history = {{Term{1}, {0}}}) {
     routing::Observation out;
     out.Role = role;
     out.Promised = Term{term};
@@ -43,9 +43,9 @@
     View.observe(instance, out, at(ms), at(ms));
   }
 
-  void replicasAt(std::int64_t ms) {
-    see(Two, InstanceRole::Replica, 1, 50, ms);
-    see(Three, InstanceRole::Replica, 1, 49, ms);
+  void observeReplicas(std::int64_t ms) {
+    observe(Two, InstanceRole::Replica, 1, 50, ms);
+    observe(Three, InstanceRole::Replica, 1, 49, ms);
   }
 
   std::vector<ReplacementOrder> tick(std::int64_t ms) {
@@ -53,8 +53,8 @@
   }
 
   /// Runs the driver until the other halls have agreed.
-  void suspect() {
-    replicasAt(400);
+  void suspectPrimary() {
+    observeReplicas(400);
     tick(400);
     Driver.peerSaid(Peer, Term{1}, true);
   }
@@ -72,7 +72,7 @@
   CHECK(seven.after(Term{7}) == Term{4096 + 7});
   CHECK(seven.after(Term{8}) == Term{4096 + 7});
   CHECK(seven.owns(seven.after(eight.after(Term{99999}))));
-  CHECK_FALSE(TermAllotment(0).isAllowed());
+  CHECK_FALSE(TermAllotment(0).canIssue());
 }
 
 TEST_CASE("ReplacementDriver_LeavesALivePrimaryAlone") {
@@ -83,7 +83,7 @@
 
 TEST_CASE("ReplacementDriver_AsksOtherHallsFirst") {
   Fixture fixture;
-  fixture.replicasAt(400);
+  fixture.observeReplicas(400);
   CHECK(fixture.tick(400) == Orders{AskPeers{Term{1}}});
   CHECK(fixture.tick(410).empty());
   fixture.Driver.peerSaid(Peer, Term{1}, true);
@@ -93,7 +93,7 @@
 
 TEST_CASE("ReplacementDriver_OneHallThatHearsThePrimaryIsEnoughToWait") {
   Fixture fixture;
-  fixture.replicasAt(400);
+  fixture.observeReplicas(400);
   fixture.tick(400);
   fixture.Driver.peerSaid(Peer, Term{1}, true);
   fixture.Driver.peerSaid(VmId("other"), Term{1}, false);
@@ -103,31 +103,31 @@
 
 TEST_CASE("ReplacementDriver_DoesNothingWithoutAMajorityInReach") {
   Fixture fixture;
-  fixture.see(Two, InstanceRole::Replica, 1, 50, 400);
+  fixture.observe(Two, InstanceRole::Replica, 1, 50, 400);
   CHECK(fixture.tick(400).empty());
 }
 
 TEST_CASE("ReplacementDriver_VmsWithoutANumberNeverDrive") {
   Fixture fixture;
   ReplacementDriver driver(DriverSettings{}, TermAllotment(0));
-  fixture.replicasAt(400);
+  fixture.observeReplicas(400);
   CHECK(driver.tick(fixture.View, at(400)).empty());
 }
 
 TEST_CASE("ReplacementDriver_FencesAMajorityThenPromotesTheFurthest") {
   Fixture fixture;
-  fixture.suspect();
+  fixture.suspectPrimary();
   fixture.tick(410);
   CHECK(fixture.tick(411) == Orders{FenceInstance{One, Term{7}},
                                     FenceInstance{Three, Term{7}},
                                     FenceInstance{Two, Term{7}}});
-  fixture.see(Three, InstanceRole::Fenced, 7, 49, 415);
+  fixture.observe(Three, InstanceRole::Fenced, 7, 49, 415);
   fixture.tick(416);
   CHECK(fixture.Driver.stage() == ReplacementStage::Fencing);
-  fixture.see(Two, InstanceRole::Fenced, 7, 50, 417);
+  fixture.observe(Two, InstanceRole::Fenced, 7, 50, 417);
   CHECK(fixture.tick(418) == Orders{PromoteInstance{Two, Term{7}}});
-  fixture.see(Two, InstanceRole::Primary, 7, 51, 420,
-              {{Term{1}, {0}}, {Term{7}, {50}}});
+  fixture.observe(Two, InstanceRole::Primary, 7, 51, 420,
+                  {{Term{1}, {0}}, {Term{7}, {50}}});
   CHECK(fixture.tick(421) == Orders{FollowPrimary{One, Two, Term{7}},
                                     FollowPrimary{Three, Two, Term{7}}});
   CHECK(fixture.Driver.stage() == ReplacementStage::Watching);
@@ -136,25 +136,25 @@
 TEST_CASE("ReplacementDriver_TermGoesBeforePosition") {
   // A longer log of an older term is a lost branch.
   Fixture fixture;
-  fixture.see(One, InstanceRole::Primary, 3, 30, 100,
-              {{Term{1}, {0}}, {Term{3}, {20}}});
-  fixture.see(Two, InstanceRole::Replica, 3, 30, 400,
-              {{Term{1}, {0}}, {Term{3}, {20}}});
-  fixture.see(Three, InstanceRole::Replica, 3, 99, 400);
+  fixture.observe(One, InstanceRole::Primary, 3, 30, 100,
+                  {{Term{1}, {0}}, {Term{3}, {20}}});
+  fixture.observe(Two, InstanceRole::Replica, 3, 30, 400,
+                  {{Term{1}, {0}}, {Term{3}, {20}}});
+  fixture.observe(Three, InstanceRole::Replica, 3, 99, 400);
   fixture.tick(400);
   fixture.Driver.peerSaid(Peer, Term{3}, true);
   fixture.tick(401);
-  fixture.see(Three, InstanceRole::Fenced, 7, 99, 410);
-  fixture.see(Two, InstanceRole::Fenced, 7, 30, 410,
-              {{Term{1}, {0}}, {Term{3}, {20}}});
+  fixture.observe(Three, InstanceRole::Fenced, 7, 99, 410);
+  fixture.observe(Two, InstanceRole::Fenced, 7, 30, 410,
+                  {{Term{1}, {0}}, {Term{3}, {20}}});
   CHECK(fixture.tick(411) == Orders{PromoteInstance{Two, Term{7}}});
 }
 
 TEST_CASE("ReplacementDriver_YieldsToWhoeverGotFurther") {
   Fixture fixture;
-  fixture.suspect();
+  fixture.suspectPrimary();
   fixture.tick(410);
-  fixture.see(Two, InstanceRole::Fenced, 8, 50, 415);
+  fixture.observe(Two, InstanceRole::Fenced, 8, 50, 415);
   CHECK(fixture.tick(416).empty());
   CHECK(fixture.Driver.stage() == ReplacementStage::Watching);
 }
@@ -162,8 +162,8 @@
 TEST_CASE("ReplacementDriver_AnotherGoesOnWhereADriverDied") {
   // VM 9 fenced a majority and failed before it promoted an instance.
   Fixture fixture;
-  fixture.see(Two, InstanceRole::Fenced, 9, 50, 400);
-  fixture.see(Three, InstanceRole::Fenced, 9, 49, 400);
+  fixture.observe(Two, InstanceRole::Fenced, 9, 50, 400);
+  fixture.observe(Three, InstanceRole::Fenced, 9, 49, 400);
   fixture.tick(400);
   fixture.Driver.peerSaid(Peer, Term{1}, true);
   fixture.tick(401);
@@ -176,18 +176,18 @@
   Fixture fixture;
   const std::vector<routing::TermStart> history = {{Term{1}, {0}},
                                                    {Term{7}, {50}}};
-  fixture.see(Two, InstanceRole::Primary, 7, 51, 900, history);
-  fixture.see(Three, InstanceRole::Replica, 7, 51, 900, history);
-  fixture.see(One, InstanceRole::Primary, 1, 55, 900);
+  fixture.observe(Two, InstanceRole::Primary, 7, 51, 900, history);
+  fixture.observe(Three, InstanceRole::Replica, 7, 51, 900, history);
+  fixture.observe(One, InstanceRole::Primary, 1, 55, 900);
   CHECK(fixture.tick(910) == Orders{FollowPrimary{One, Two, Term{7}}});
 }
 
 TEST_CASE("ReplacementDriver_StrandedInstanceIsBroughtBack") {
   Fixture fixture;
   for (std::int64_t ms = 100; ms <= 4000; ms += 100) {
-    fixture.see(One, InstanceRole::Primary, 1, 50, ms);
-    fixture.see(Two, InstanceRole::Replica, 1, 50, ms);
-    fixture.see(Three, InstanceRole::Fenced, 9, 50, ms);
+    fixture.observe(One, InstanceRole::Primary, 1, 50, ms);
+    fixture.observe(Two, InstanceRole::Replica, 1, 50, ms);
+    fixture.observe(Three, InstanceRole::Fenced, 9, 50, ms);
     fixture.tick(ms);
   }
   CHECK(fixture.Driver.stage() == ReplacementStage::Fencing);
@@ -196,20 +196,20 @@
 TEST_CASE("ReplacementDriver_LeavingPrimaryIsReplacedByOneThatStays") {
   Fixture fixture;
   fixture.View.setLeaving(One, true, at(0));
-  const auto see = [&](std::int64_t ms) {
-    fixture.see(One, InstanceRole::Primary, 1, 50, ms);
-    fixture.replicasAt(ms);
+  const auto observe = [&](std::int64_t ms) {
+    fixture.observe(One, InstanceRole::Primary, 1, 50, ms);
+    fixture.observeReplicas(ms);
   };
-  see(1600);
+  observe(1600);
   fixture.tick(1600);
   CHECK(fixture.Driver.stage() == ReplacementStage::Watching);
-  see(1700);
+  observe(1700);
   fixture.tick(1700);
   // The leaving instance is not fenced: the others are a majority.
   CHECK(fixture.tick(1701) ==
         Orders{FenceInstance{Three, Term{7}}, FenceInstance{Two, Term{7}}});
-  fixture.see(Two, InstanceRole::Fenced, 7, 50, 1705);
-  fixture.see(Three, InstanceRole::Fenced, 7, 49, 1705);
+  fixture.observe(Two, InstanceRole::Fenced, 7, 50, 1705);
+  fixture.observe(Three, InstanceRole::Fenced, 7, 49, 1705);
   CHECK(fixture.tick(1706) == Orders{PromoteInstance{Two, Term{7}}});
 }
 
@@ -217,7 +217,7 @@
   Fixture fixture;
   fixture.View.setLeaving(One, true, at(0));
   fixture.View.setLeaving(Two, true, at(0));
-  fixture.see(One, InstanceRole::Primary, 1, 50, 1700);
-  fixture.replicasAt(1700);
+  fixture.observe(One, InstanceRole::Primary, 1, 50, 1700);
+  fixture.observeReplicas(1700);
   CHECK(fixture.tick(1700).empty());
 }
--- a/src/routing/GroupView.cpp
+++ b/src/routing/GroupView.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t SamplesKept = 2048;
-constexpr Duration SampleSpacing = milliseconds(2);
-constexpr int LagWeight = 4;
-constexpr double FailureFactor = 0.5;
-constexpr double SuccessStep = 0.1;
+constexpr std::size_t MaxSamples = 2048;
+constexpr Duration MinSampleSpacing = milliseconds(2);
+constexpr int LagSmoothing = 4;
+constexpr double HealthFactorOnFailure = 0.5;
+constexpr double HealthStepOnSuccess = 0.1;
 
 } // namespace
 
@@ -23,7 +23,7 @@
 }
 
 void GroupView::observe(const InstanceId &instance,
-                        const Observation &observation, TimePoint askedAt,
+                        const Observation &observation, TimePoint sentAt,
                         TimePoint now) {
   const auto it = States.find(instance);
   if (it == States.end())
@@ -31,36 +31,36 @@
   auto &state = it->second;
   // NOTE: Answers on several connections may arrive out of order; an older one
   // is ignored.
-  if (state.Seen && askedAt < state.AskedAt)
+  if (state.Seen && sentAt < state.QuerySentAt)
     return;
-  learnHistory(observation);
+  updateHistory(observation);
   state.Last = observation;
   state.Seen = true;
-  state.AskedAt = askedAt;
+  state.QuerySentAt = sentAt;
   state.HeardAt = now;
-  state.PromiseSeenAt = askedAt;
+  state.PromiseObservedAt = sentAt;
   noteLeaving(state, now);
   if (observation.Role == InstanceRole::Primary &&
       observation.Promised >= CurrentTerm)
-    addSample(observation.appliedMark(), askedAt);
+    addSample(observation.appliedMark(), sentAt);
   if (const auto age = ageOf(observation.appliedMark(), now))
-    state.Lag += (*age - state.Lag) / LagWeight;
+    state.Lag += (*age - state.Lag) / LagSmoothing;
 }
 
 // NOTE: A primary that is lost before a majority has an entry of its term
 // leaves a term that the next primary's log lacks. So the history is that of
 // the newest log alone, never a union of several.
-void GroupView::learnHistory(const Observation &observation) {
+void GroupView::updateHistory(const Observation &observation) {
   if (observation.LogTerm < CurrentTerm || observation.History.empty())
     return;
   if (observation.LogTerm > CurrentTerm)
     History.clear();
   CurrentTerm = observation.LogTerm;
   for (const auto &it : observation.History)
-    History.learn(it.Began, it.After);
+    History.addTerm(it.Began, it.After);
 }
 
-std::optional<Mark> GroupView::beginningOfTerm() const {
+std::optional<Mark> GroupView::firstMarkOfTerm() const {
   const auto start = History.startOf(CurrentTerm);
   if (!start)
     return std::nullopt;
@@ -68,11 +68,11 @@
 }
 
 bool GroupView::isDiscarded(Mark mark) const {
-  const auto beginning = beginningOfTerm();
-  if (!beginning || mark.WrittenIn >= CurrentTerm)
+  const auto first = firstMarkOfTerm();
+  if (!first || mark.WrittenIn >= CurrentTerm)
     return false;
-  return isHeldByMajority(*beginning) &&
-         History.includes(*beginning, mark) == session::Inclusion::Lost;
+  return isHeldByMajority(*first) &&
+         History.includes(*first, mark) == session::Inclusion::Lost;
 }
 
 void GroupView::setLeaving(const InstanceId &instance, bool leaving,
@@ -100,11 +100,11 @@
   return now - *since;
 }
 
-void GroupView::addSample(Mark position, TimePoint askedAt) {
+void GroupView::addSample(Mark position, TimePoint sentAt) {
   if (!Samples.empty()) {
     auto &last = Samples.back();
     if (position == last.Position) {
-      last.LastSeen = std::max(last.LastSeen, askedAt);
+      last.LastSeen = std::max(last.LastSeen, sentAt);
       return;
     }
     if (position < last.Position)
@@ -113,25 +113,25 @@
     // before, which can only overestimate ages.
     const bool close =
         Samples.size() > 1 &&
-        askedAt - Samples[Samples.size() - 2].FirstSeen < SampleSpacing;
+        sentAt - Samples[Samples.size() - 2].FirstSeen < MinSampleSpacing;
     if (close) {
-      last = {position, askedAt, askedAt};
+      last = {position, sentAt, sentAt};
       return;
     }
   }
-  Samples.push_back({position, askedAt, askedAt});
-  if (Samples.size() > SamplesKept)
+  Samples.push_back({position, sentAt, sentAt});
+  if (Samples.size() > MaxSamples)
     Samples.pop_front();
 }
 
 void GroupView::noteFailure(const InstanceId &instance) {
   if (const auto it = States.find(instance); it != States.end())
-    it->second.Health *= FailureFactor;
+    it->second.Health *= HealthFactorOnFailure;
 }
 
 void GroupView::noteSuccess(const InstanceId &instance) {
   if (const auto it = States.find(instance); it != States.end())
-    it->second.Health = std::min(1.0, it->second.Health + SuccessStep);
+    it->second.Health = std::min(1.0, it->second.Health + HealthStepOnSuccess);
 }
 
 const InstanceState &GroupView::of(const InstanceId &instance) const {
@@ -164,7 +164,7 @@
   std::vector<TimePoint> times;
   for (const auto &[id, state] : States)
     if (state.Seen && state.Last.Promised == term)
-      times.push_back(state.PromiseSeenAt);
+      times.push_back(state.PromiseObservedAt);
   const auto needed = static_cast<std::size_t>(majority());
   if (times.size() < needed)
     return std::nullopt;
@@ -183,9 +183,9 @@
   if (applied.WrittenIn < CurrentTerm) {
     // NOTE: A log that continued past the start of a later term has entries
     // that were lost, so no age is valid for it.
-    const auto kept =
+    const auto inclusion =
         History.includes({CurrentTerm, applied.Position}, applied);
-    if (kept != session::Inclusion::Included)
+    if (inclusion != session::Inclusion::Included)
       return std::nullopt;
   }
   const auto &sample = *std::prev(after);
@@ -212,7 +212,7 @@
   return it->FirstSeen;
 }
 
-int GroupView::holders(Mark mark) const {
+int GroupView::holderCount(Mark mark) const {
   int n = 0;
   for (const auto &[id, state] : States) {
     const auto &last = state.Last;
@@ -226,7 +226,7 @@
 }
 
 bool GroupView::isHeldByMajority(Mark mark) const {
-  return holders(mark) >= majority();
+  return holderCount(mark) >= majority();
 }
 
 } // namespace stepledge::routing
--- a/src/routing/GroupView.h
+++ b/src/routing/GroupView.h
@@ -24,12 +24,12 @@
   Observation Last;
   bool Seen = false;
   /// When the query was sent that Last answers.
-  TimePoint AskedAt;
+  TimePoint QuerySentAt;
   /// When the instance last answered a query.
   TimePoint HeardAt;
   /// The send time of the last query that showed Last.Promised as the highest
   /// term that the instance has promised.
-  TimePoint PromiseSeenAt;
+  TimePoint PromiseObservedAt;
   /// How far the applied data of the instance is behind the primary, smoothed.
   Duration Lag{0};
   /// Set by an operator or the platform: the instance gets no new work.
@@ -44,9 +44,9 @@
 public:
   explicit GroupView(const std::vector<InstanceId> &instances);
 
-  /// Records the answer to a query that was sent at \p askedAt.
+  /// Records the answer to a query that was sent at \p sentAt.
   void observe(const InstanceId &instance, const Observation &observation,
-               TimePoint askedAt, TimePoint now);
+               TimePoint sentAt, TimePoint now);
   /// Record that a request to the instance failed or succeeded.
   void noteFailure(const InstanceId &instance);
   void noteSuccess(const InstanceId &instance);
@@ -78,7 +78,7 @@
   std::optional<TimePoint> reachedAt(Mark mark) const;
 
   /// The number of instances of the current term whose logs include \p mark.
-  int holders(Mark mark) const;
+  int holderCount(Mark mark) const;
   int majority() const { return static_cast<int>(States.size()) / 2 + 1; }
   /// Whether \p mark survives the loss of any minority.
   bool isHeldByMajority(Mark mark) const;
@@ -97,10 +97,10 @@
   };
 
   /// The first position of the current term.
-  std::optional<Mark> beginningOfTerm() const;
+  std::optional<Mark> firstMarkOfTerm() const;
   static void noteLeaving(InstanceState &state, TimePoint now);
-  void learnHistory(const Observation &observation);
-  void addSample(Mark position, TimePoint askedAt);
+  void updateHistory(const Observation &observation);
+  void addSample(Mark position, TimePoint sentAt);
 
   std::map<InstanceId, InstanceState> States;
   session::TermHistory History;
--- a/src/routing/ReadRouter.cpp
+++ b/src/routing/ReadRouter.cpp
@@ -12,7 +12,7 @@
 /// An instance below this health is not chosen while another one is eligible.
 constexpr double EjectedBelow = 0.1;
 /// Minimum time in which a replica that was behind is expected to catch up.
-constexpr Duration LeastCatchUp = milliseconds(1);
+constexpr Duration MinCatchUp = milliseconds(1);
 
 Duration costOf(const InstanceLoad &load, double health) {
   const auto waiting = load.ServiceTime * (load.InFlight + 1);
@@ -23,9 +23,9 @@
 
 /// Picks two candidates at random and returns the cheaper one. Comparing two of
 /// them instead of all keeps many VMs from choosing the same instance at once.
-std::size_t pickOfTwo(const std::vector<std::size_t> &candidates,
-                      const std::vector<Consideration> &considered,
-                      Random &random) {
+std::size_t pickCheaperOfTwo(const std::vector<std::size_t> &candidates,
+                             const std::vector<ConsideredInstance> &considered,
+                             Random &random) {
   if (candidates.size() == 1)
     return candidates.front();
   const auto first = random() % candidates.size();
@@ -37,11 +37,12 @@
   return considered[left].Cost <= considered[right].Cost ? left : right;
 }
 
-bool isEligible(const Consideration &it) {
+bool isEligible(const ConsideredInstance &it) {
   return it.Said == Verdict::Eligible;
 }
 
-std::vector<std::size_t> eligibleIn(const std::vector<Consideration> &list) {
+std::vector<std::size_t>
+eligibleIn(const std::vector<ConsideredInstance> &list) {
   std::vector<std::size_t> found;
   for (std::size_t n = 0; n < list.size(); ++n)
     if (isEligible(list[n]))
@@ -49,18 +50,19 @@
   return found;
 }
 
-bool anySaid(const std::vector<Consideration> &list, Verdict verdict) {
+bool anyHasVerdict(const std::vector<ConsideredInstance> &list,
+                   Verdict verdict) {
   return std::any_of(list.begin(), list.end(),
                      [verdict](const auto &it) { return it.Said == verdict; });
 }
 
 } // namespace
 
-ReadRouter::Judged ReadRouter::judge(const ReadNeed &need,
-                                     const GroupView &view,
-                                     const InstanceId &instance,
-                                     const InstanceState &state,
-                                     TimePoint now) const {
+ReadRouter::Evaluation ReadRouter::evaluate(const ReadNeed &need,
+                                            const GroupView &view,
+                                            const InstanceId &instance,
+                                            const InstanceState &state,
+                                            TimePoint now) const {
   if (!state.Seen || now - state.HeardAt > Config.Silence)
     return {Verdict::Silent, {}};
   if (need.Tried.contains(instance))
@@ -70,25 +72,25 @@
   if (leaving && (!isPrimary || *leaving >= Config.LeaveGrace))
     return {Verdict::Leaving, {}};
   if (state.Last.Role == InstanceRole::Primary)
-    return judgePrimary(need, view, state, now);
+    return evaluatePrimary(need, view, state, now);
   if (need.isCurrent())
     return {Verdict::NotPrimary, {}};
-  return judgeReplica(need, view, state, now);
+  return evaluateReplica(need, view, state, now);
 }
 
-ReadRouter::Judged ReadRouter::judgePrimary(const ReadNeed &need,
-                                            const GroupView &view,
-                                            const InstanceState &state,
-                                            TimePoint now) const {
+ReadRouter::Evaluation ReadRouter::evaluatePrimary(const ReadNeed &need,
+                                                   const GroupView &view,
+                                                   const InstanceState &state,
+                                                   TimePoint now) const {
   if (state.Last.Promised < view.term())
     return {Verdict::NotPrimary, {}};
   const auto confirmed = view.confirmedAt(state.Last.Promised);
   const auto allowed = need.isCurrent() ? Config.PrimaryConfirm : need.MaxAge;
   if (!confirmed || now - *confirmed > allowed)
     return {Verdict::Unconfirmed, {}};
-  const auto kept =
+  const auto inclusion =
       view.history().includesAll(state.Last.appliedMark(), need.Marks);
-  if (kept == session::Inclusion::Lost)
+  if (inclusion == session::Inclusion::Lost)
     return {Verdict::HistoryLost, {}};
   // NOTE: A mark of the primary's own term is in its log, even if the last
   // observation is older than the mark; a mark of a later term is not.
@@ -99,23 +101,23 @@
   return {isOlder ? Verdict::Behind : Verdict::Eligible, {}};
 }
 
-ReadRouter::Judged ReadRouter::judgeReplica(const ReadNeed &need,
-                                            const GroupView &view,
-                                            const InstanceState &state,
-                                            TimePoint now) const {
+ReadRouter::Evaluation ReadRouter::evaluateReplica(const ReadNeed &need,
+                                                   const GroupView &view,
+                                                   const InstanceState &state,
+                                                   TimePoint now) const {
   const auto applied = state.Last.appliedMark();
   const auto age = view.ageOf(applied, now);
   // NOTE: The replica has advanced since its last observation, so its usual lag
   // counts as well; the proof returned with the read decides.
-  const bool fresh = age && std::min(*age, state.Lag) <= need.MaxAge;
-  if (!fresh)
+  const bool isFresh = age && std::min(*age, state.Lag) <= need.MaxAge;
+  if (!isFresh)
     return {Verdict::TooOld, {}};
-  const auto kept = view.history().includesAll(applied, need.Marks);
-  if (kept == session::Inclusion::Included)
+  const auto inclusion = view.history().includesAll(applied, need.Marks);
+  if (inclusion == session::Inclusion::Included)
     return {Verdict::Eligible, {}};
-  if (kept != session::Inclusion::Behind)
-    return {kept == session::Inclusion::Lost ? Verdict::HistoryLost
-                                             : Verdict::Behind,
+  if (inclusion != session::Inclusion::Behind)
+    return {inclusion == session::Inclusion::Lost ? Verdict::HistoryLost
+                                                  : Verdict::Behind,
             {}};
   const auto newest = std::max_element(need.Marks.begin(), need.Marks.end());
   const auto reached = view.reachedAt(*newest).value_or(now);
@@ -123,7 +125,7 @@
   // lag is.
   const auto usual = reached + state.Lag + state.Lag / 4;
   const auto caughtUp =
-      std::max(usual, state.AskedAt + state.Lag / 4 + LeastCatchUp);
+      std::max(usual, state.QuerySentAt + state.Lag / 4 + MinCatchUp);
   if (caughtUp <= now)
     return {Verdict::Eligible, {}};
   return {Verdict::Behind, caughtUp};
@@ -136,21 +138,21 @@
   std::optional<std::size_t> primary;
   std::optional<WaitForCatchUp> catchUp;
   for (const auto &[id, state] : view.all()) {
-    const auto judged = judge(need, view, id, state, now);
+    const auto evaluation = evaluate(need, view, id, state, now);
     const auto load = loads.find(id);
-    Consideration entry{
-        id, judged.Said, view.ageOf(state.Last.appliedMark(), now), {}};
-    if (judged.Said == Verdict::Eligible && load != loads.end()) {
+    ConsideredInstance entry{
+        id, evaluation.Said, view.ageOf(state.Last.appliedMark(), now), {}};
+    if (evaluation.Said == Verdict::Eligible && load != loads.end()) {
       entry.Cost = costOf(load->second, state.Health);
       if (!load->second.CanStart)
         entry.Said = Verdict::Busy;
       else if (state.Health < EjectedBelow)
         entry.Said = Verdict::Ejected;
     }
-    const bool sooner = judged.CatchesUpAt &&
-                        (!catchUp || *judged.CatchesUpAt < catchUp->Until);
-    if (sooner)
-      catchUp = WaitForCatchUp{id, *judged.CatchesUpAt};
+    const bool isSooner = evaluation.CaughtUpAt &&
+                          (!catchUp || *evaluation.CaughtUpAt < catchUp->Until);
+    if (isSooner)
+      catchUp = WaitForCatchUp{id, *evaluation.CaughtUpAt};
     if (state.Last.Role == InstanceRole::Primary && isEligible(entry) &&
         view.primary() == id)
       primary = decision.Considered.size();
@@ -171,19 +173,19 @@
   if (hasReplica && primary)
     std::erase(candidates, *primary);
 
-  const bool waitsWell = catchUp && catchUp->Until - now <= Config.CatchUp &&
-                         catchUp->Until < need.Deadline;
-  if (!hasReplica && waitsWell && !need.isCurrent()) {
+  const bool isShortWait = catchUp && catchUp->Until - now <= Config.CatchUp &&
+                           catchUp->Until < need.Deadline;
+  if (!hasReplica && isShortWait && !need.isCurrent()) {
     decision.Choice = *catchUp;
   } else if (!candidates.empty()) {
-    const auto chosen = pickOfTwo(candidates, considered, random);
+    const auto chosen = pickCheaperOfTwo(candidates, considered, random);
     considered[chosen].Said = Verdict::Chosen;
     decision.Choice = UseInstance{considered[chosen].Instance};
-  } else if (anySaid(considered, Verdict::Busy)) {
+  } else if (anyHasVerdict(considered, Verdict::Busy)) {
     decision.Choice = WaitForCapacity{};
-  } else if (anySaid(considered, Verdict::HistoryLost)) {
+  } else if (anyHasVerdict(considered, Verdict::HistoryLost)) {
     decision.Choice = RefuseRead{ResultCode::HistoryLost};
-  } else if (anySaid(considered, Verdict::Unconfirmed)) {
+  } else if (anyHasVerdict(considered, Verdict::Unconfirmed)) {
     decision.Choice = WaitForChange{ResultCode::PrimaryUnconfirmed};
   } else {
     decision.Choice =
@@ -196,10 +198,10 @@
 Proof ReadRouter::prove(const ReadNeed &need, const GroupView &view,
                         const Observation &seen, TimePoint now) const {
   const auto applied = seen.appliedMark();
-  const auto kept = view.history().includesAll(applied, need.Marks);
-  if (kept == session::Inclusion::Lost)
+  const auto inclusion = view.history().includesAll(applied, need.Marks);
+  if (inclusion == session::Inclusion::Lost)
     return Proof::HistoryLost;
-  if (kept != session::Inclusion::Included)
+  if (inclusion != session::Inclusion::Included)
     return Proof::Behind;
   if (need.isCurrent()) {
     const auto confirmed = view.confirmedAt(seen.Promised);
--- a/src/routing/ReadRouter.h
+++ b/src/routing/ReadRouter.h
@@ -50,19 +50,19 @@
               const Observation &seen, TimePoint now) const;
 
 private:
-  struct Judged {
+  struct Evaluation {
     Verdict Said;
     /// When an instance that is behind now is expected to have caught up.
-    std::optional<TimePoint> CatchesUpAt;
+    std::optional<TimePoint> CaughtUpAt;
   };
 
-  Judged judge(const ReadNeed &need, const GroupView &view,
-               const InstanceId &instance, const InstanceState &state,
-               TimePoint now) const;
-  Judged judgeReplica(const ReadNeed &need, const GroupView &view,
-                      const InstanceState &state, TimePoint now) const;
-  Judged judgePrimary(const ReadNeed &need, const GroupView &view,
-                      const InstanceState &state, TimePoint now) const;
+  Evaluation evaluate(const ReadNeed &need, const GroupView &view,
+                      const InstanceId &instance, const InstanceState &state,
+                      TimePoint now) const;
+  Evaluation evaluateReplica(const ReadNeed &need, const GroupView &view,
+                             const InstanceState &state, TimePoint now) const;
+  Evaluation evaluatePrimary(const ReadNeed &need, const GroupView &view,
+                             const InstanceState &state, TimePoint now) const;
 
   RouterSettings Config;
 };
--- a/src/routing/tests/ReadRouterTest.cpp
+++ b/src/routing/tests/ReadRouterTest.cpp
@@ -20,7 +20,7 @@
 
 Mark mark(std::uint64_t position) { return {Term{1}, LogPosition{position}}; }
 
-Observation said(InstanceRole role, std::uint64_t position) {
+Observation makeObservation(InstanceRole role, std::uint64_t position) {
   Observation out;
   out.Role = role;
   out.Promised = out.LogTerm = Term{1};
@@ -38,14 +38,17 @@
   Fixture() {
     for (const auto &it : {One, Two, Three})
       Load[it] = {true, 0, milliseconds(1), milliseconds(1)};
-    see(1000, 50, 50, 40);
+    observeAll(1000, 50, 50, 40);
   }
 
-  void see(std::int64_t ms, std::uint64_t primary, std::uint64_t second,
-           std::uint64_t third) {
-    View.observe(Two, said(InstanceRole::Replica, second), at(ms), at(ms));
-    View.observe(Three, said(InstanceRole::Replica, third), at(ms), at(ms));
-    View.observe(One, said(InstanceRole::Primary, primary), at(ms), at(ms));
+  void observeAll(std::int64_t ms, std::uint64_t primary, std::uint64_t second,
+                  std::uint64_t third) {
+    View.observe(Two, makeObservation(InstanceRole::Replica, second), at(ms),
+                 at(ms));
+    View.observe(Three, makeObservation(InstanceRole::Replica, third), at(ms),
+                 at(ms));
+    View.observe(One, makeObservation(InstanceRole::Primary, primary), at(ms),
+                 at(ms));
   }
 
   RouteDecision choose(const ReadNeed &need, std::int64_t ms) {
@@ -88,14 +91,14 @@
 
 TEST_CASE("ReadRouter_SessionsOwnWriteRulesOutTheReplicaBehind") {
   Fixture fixture;
-  fixture.see(1050, 60, 50, 60);
+  fixture.observeAll(1050, 60, 50, 60);
   const auto decision = fixture.choose(Fixture::browse({mark(55)}), 1055);
   CHECK(chosenBy(decision) == "three");
 }
 
 TEST_CASE("ReadRouter_WaitsShortlyForAReplicaThatCatchesUp") {
   Fixture fixture;
-  fixture.see(1050, 60, 50, 40);
+  fixture.observeAll(1050, 60, 50, 40);
   const auto decision = fixture.choose(Fixture::browse({mark(60)}), 1051);
   CHECK(std::holds_alternative<WaitForCatchUp>(decision.Choice));
 }
@@ -125,7 +128,7 @@
 
 TEST_CASE("ReadRouter_EjectsByDegreesButNeverAll") {
   Fixture fixture;
-  fixture.see(1050, 50, 50, 50);
+  fixture.observeAll(1050, 50, 50, 50);
   for (int n = 0; n < 4; ++n)
     fixture.View.noteFailure(Two);
   CHECK(chosenBy(fixture.choose(Fixture::browse(), 1055)) == "three");
@@ -138,7 +141,7 @@
 
 TEST_CASE("ReadRouter_LeavingReplicaGetsNoNewWork") {
   Fixture fixture;
-  auto leaving = said(InstanceRole::Replica, 50);
+  auto leaving = makeObservation(InstanceRole::Replica, 50);
   leaving.Leaving = true;
   fixture.View.observe(Two, leaving, at(1005), at(1006));
   const auto decision = fixture.choose(Fixture::browse(), 1010);
@@ -150,7 +153,8 @@
   const auto need = Fixture::browse({mark(50)});
   const auto prove = [&](std::uint64_t position) {
     return fixture.Router.prove(
-        need, fixture.View, said(InstanceRole::Replica, position), at(1010));
+        need, fixture.View, makeObservation(InstanceRole::Replica, position),
+        at(1010));
   };
   CHECK(prove(50) == Proof::Holds);
   CHECK(prove(49) == Proof::Behind);
@@ -158,13 +162,13 @@
 
 TEST_CASE("ReadRouter_UnconfirmedPrimaryAnswersNoCurrentRead") {
   Fixture fixture;
-  fixture.View.observe(One, said(InstanceRole::Primary, 50), at(2500),
-                       at(2500));
+  fixture.View.observe(One, makeObservation(InstanceRole::Primary, 50),
+                       at(2500), at(2500));
   const auto decision = fixture.choose({{}, Duration{0}, at(9000), {}}, 2510);
   const auto *wait = std::get_if<WaitForChange>(&decision.Choice);
   REQUIRE(wait != nullptr);
   CHECK(wait->Why == ResultCode::PrimaryUnconfirmed);
   CHECK(fixture.Router.prove({{}, Duration{0}, at(9000), {}}, fixture.View,
-                             said(InstanceRole::Primary, 50),
+                             makeObservation(InstanceRole::Primary, 50),
                              at(2510)) == Proof::NotPrimary);
 }
--- a/src/routing/types/RouteDecision.h
+++ b/src/routing/types/RouteDecision.h
@@ -75,7 +75,7 @@
 });
 
 /// The verdict on one instance at the time of the decision.
-struct Consideration {
+struct ConsideredInstance {
   InstanceId Instance;
   Verdict Said = Verdict::Silent;
   std::optional<Duration> Age;
@@ -111,7 +111,7 @@
 
 struct RouteDecision {
   RouteChoice Choice;
-  std::vector<Consideration> Considered;
+  std::vector<ConsideredInstance> Considered;
 };
 
 } // namespace stepledge::routing
--- a/src/session/TermHistory.cpp
+++ b/src/session/TermHistory.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 /// Maximum number of terms; only long ended sessions refer to older ones.
-constexpr std::size_t TermsKept = 1024;
+constexpr std::size_t MaxTerms = 1024;
 
 } // namespace
 
-void TermHistory::learn(Term term, LogPosition start) {
+void TermHistory::addTerm(Term term, LogPosition start) {
   Starts[term] = start;
-  if (Starts.size() > TermsKept)
+  if (Starts.size() > MaxTerms)
     Starts.erase(Starts.begin());
 }
 
@@ -43,9 +43,9 @@
   if (at.WrittenIn < mark.WrittenIn)
     return Inclusion::Behind;
   if (at.WrittenIn > mark.WrittenIn) {
-    const auto kept = carriesOver(mark, at.WrittenIn);
-    if (kept != Inclusion::Included)
-      return kept;
+    const auto inclusion = carriesOver(mark, at.WrittenIn);
+    if (inclusion != Inclusion::Included)
+      return inclusion;
   }
   return at.Position >= mark.Position ? Inclusion::Included : Inclusion::Behind;
 }
--- a/src/session/TermHistory.h
+++ b/src/session/TermHistory.h
@@ -31,7 +31,7 @@
   /// Records that \p term began after \p start, the last position of the
   /// previous term. Must be called for all terms of one instance's log, without
   /// a gap.
-  void learn(Term term, LogPosition start);
+  void addTerm(Term term, LogPosition start);
 
   /// Removes all terms, for when another log proves to be the newest.
   void clear() { Starts.clear(); }
--- a/src/session/internal/TokenCodec.cpp
+++ b/src/session/internal/TokenCodec.cpp
@@ -31,7 +31,7 @@
   return {reinterpret_cast<const char *>(buf.data()), n};
 }
 
-bool sameBytes(const std::string &left, const std::string &right) {
+bool equalSignatures(const std::string &left, const std::string &right) {
   return left.size() == SignatureBytes && right.size() == SignatureBytes &&
          CRYPTO_memcmp(left.data(), right.data(), SignatureBytes) == 0;
 }
@@ -78,7 +78,7 @@
     return makeStatus(ResultCode::TokenBroken, "the token can't be decoded");
   const auto *key = findKey(parsed.key_id());
   if (key == nullptr ||
-      !sameBytes(sign(key->Secret, parsed.body()), parsed.signature()))
+      !equalSignatures(sign(key->Secret, parsed.body()), parsed.signature()))
     return makeStatus(ResultCode::TokenForged,
                       "the token isn't signed by a key in use");
   wire::TokenBody body;
--- a/src/session/tests/SessionTest.cpp
+++ b/src/session/tests/SessionTest.cpp
@@ -102,8 +102,8 @@
 
 TEST_CASE("TermHistory_CarriesOverUpToTheStart") {
   TermHistory history;
-  history.learn(Term{1}, LogPosition{0});
-  history.learn(Term{2}, LogPosition{10});
+  history.addTerm(Term{1}, LogPosition{0});
+  history.addTerm(Term{2}, LogPosition{10});
   CHECK(history.includes(mark(2, 11), mark(1, 10)) == Inclusion::Included);
   CHECK(history.includes(mark(2, 11), mark(1, 11)) == Inclusion::Lost);
   CHECK(history.includes(mark(1, 99), mark(2, 11)) == Inclusion::Behind);
@@ -111,24 +111,24 @@
 
 TEST_CASE("TermHistory_LostInAnyTermBetween") {
   TermHistory history;
-  history.learn(Term{1}, LogPosition{0});
-  history.learn(Term{2}, LogPosition{10});
-  history.learn(Term{3}, LogPosition{20});
+  history.addTerm(Term{1}, LogPosition{0});
+  history.addTerm(Term{2}, LogPosition{10});
+  history.addTerm(Term{3}, LogPosition{20});
   CHECK(history.includes(mark(3, 30), mark(1, 15)) == Inclusion::Lost);
   CHECK(history.includes(mark(3, 30), mark(1, 10)) == Inclusion::Included);
 }
 
 TEST_CASE("TermHistory_UnknownTermProvesNothing") {
   TermHistory history;
-  history.learn(Term{2}, LogPosition{10});
+  history.addTerm(Term{2}, LogPosition{10});
   CHECK(history.includes(mark(3, 30), mark(2, 5)) == Inclusion::Unproved);
   CHECK(history.includes(mark(2, 30), mark(1, 5)) == Inclusion::Unproved);
 }
 
 TEST_CASE("TermHistory_MergedMarksKeepTheLostOne") {
   TermHistory history;
-  history.learn(Term{1}, LogPosition{0});
-  history.learn(Term{2}, LogPosition{10});
+  history.addTerm(Term{1}, LogPosition{0});
+  history.addTerm(Term{2}, LogPosition{10});
   SessionMarks marks;
   marks.add(Bookings, mark(1, 11));
   marks.add(Bookings, mark(2, 12));
--- a/src/settings/SettingsModule.cpp
+++ b/src/settings/SettingsModule.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 constexpr std::size_t SecretBytes = 32;
-constexpr Range AnyTime{1, 3600000};
-constexpr Range VmNumbers{0, 4095};
+constexpr Range TimeRangeMs{1, 3600000};
+constexpr Range VmNumberRange{0, 4095};
 
 constexpr auto AcknowledgeNames = std::to_array<NameEntry<AcknowledgeMode>>({
     {AcknowledgeMode::Majority, "majority"},
@@ -98,7 +98,7 @@
 void readVm(TableReader &reader, Settings &out) {
   reader.requiredId("id", out.Vm);
   reader.requiredId("hall", out.Hall);
-  reader.optionalNumber("number", VmNumbers, out.VmNumber);
+  reader.optionalNumber("number", VmNumberRange, out.VmNumber);
   reader.requiredEndpoint("callers", out.Callers);
   reader.optionalEndpoint("mesh", out.Mesh);
   reader.optional("data_folder", out.DataFolder);
@@ -135,16 +135,16 @@
 }
 
 void readTiming(TableReader &reader, TimingSettings &out) {
-  reader.optional("observe_ms", AnyTime, out.Observe);
-  reader.optional("silence_ms", AnyTime, out.Silence);
-  reader.optional("default_deadline_ms", AnyTime, out.DefaultDeadline);
-  reader.optional("longest_deadline_ms", AnyTime, out.LongestDeadline);
-  reader.optional("transaction_idle_ms", AnyTime, out.TransactionIdle);
-  reader.optional("transaction_total_ms", AnyTime, out.TransactionTotal);
-  reader.optional("primary_confirm_ms", AnyTime, out.PrimaryConfirm);
+  reader.optional("observe_ms", TimeRangeMs, out.Observe);
+  reader.optional("silence_ms", TimeRangeMs, out.Silence);
+  reader.optional("default_deadline_ms", TimeRangeMs, out.DefaultDeadline);
+  reader.optional("longest_deadline_ms", TimeRangeMs, out.LongestDeadline);
+  reader.optional("transaction_idle_ms", TimeRangeMs, out.TransactionIdle);
+  reader.optional("transaction_total_ms", TimeRangeMs, out.TransactionTotal);
+  reader.optional("primary_confirm_ms", TimeRangeMs, out.PrimaryConfirm);
   reader.optional("catch_up_ms", Range{0, 60000}, out.CatchUp);
   reader.optional("drain_notice_ms", Range{0, 600000}, out.DrainNotice);
-  reader.optional("forward_limit_ms", AnyTime, out.ForwardLimit);
+  reader.optional("forward_limit_ms", TimeRangeMs, out.ForwardLimit);
   if (out.DefaultDeadline > out.LongestDeadline)
     reader.fault("default_deadline_ms", "is beyond longest_deadline_ms");
   if (out.Silence < 2 * out.Observe)
@@ -163,11 +163,11 @@
 
 void readFailover(TableReader &reader, FailoverSettings &out) {
   reader.optional("enabled", out.Enabled);
-  reader.optional("suspect_ms", AnyTime, out.Suspect);
+  reader.optional("suspect_ms", TimeRangeMs, out.Suspect);
   reader.optional("stagger_ms", Range{0, 60000}, out.Stagger);
   reader.optional("rest_ms", Range{0, 3600000}, out.Rest);
-  reader.optional("leave_grace_ms", AnyTime, out.LeaveGrace);
-  reader.optional("leave_hold_ms", AnyTime, out.LeaveHold);
+  reader.optional("leave_grace_ms", TimeRangeMs, out.LeaveGrace);
+  reader.optional("leave_hold_ms", TimeRangeMs, out.LeaveHold);
 }
 
 void readAll(TableReader &reader, Settings &out) {
@@ -183,7 +183,7 @@
     inner.requiredId("vm", peer.Vm);
     inner.requiredId("hall", peer.Hall);
     inner.requiredEndpoint("mesh", peer.Mesh);
-    inner.optionalNumber("number", VmNumbers, peer.Number);
+    inner.optionalNumber("number", VmNumberRange, peer.Number);
     if (isNumberTaken(out, peer.Number))
       inner.fault("number", "is another VM's");
     out.Peers.push_back(std::move(peer));
@@ -220,7 +220,7 @@
     const toml::table root = toml::parse(text);
     TableReader reader(root, "", report.Faults);
     readAll(reader, report.Checked);
-    reader.finish();
+    reader.reportUnreadKeys();
   } catch (const toml::parse_error &failure) {
     report.Faults.push_back(
         {failure.source().begin.line, std::string(failure.description())});
--- a/src/settings/internal/TableReader.cpp
+++ b/src/settings/internal/TableReader.cpp
@@ -19,7 +19,7 @@
   return node.source().begin.line;
 }
 
-bool isIpNumber(const std::string &text) {
+bool isIpAddress(const std::string &text) {
   in6_addr buf{};
   return inet_pton(AF_INET, text.c_str(), &buf) == 1 ||
          inet_pton(AF_INET6, text.c_str(), &buf) == 1;
@@ -27,19 +27,19 @@
 
 } // namespace
 
-std::string TableReader::named(std::string_view key) const {
+std::string TableReader::fullKey(std::string_view key) const {
   return Path.empty() ? std::string(key) : Path + "." + std::string(key);
 }
 
 const toml::node *TableReader::find(std::string_view key) {
-  Known.emplace(key);
+  KnownKeys.emplace(key);
   return Table.get(key);
 }
 
 void TableReader::fault(std::string_view key, const std::string &text) {
   const auto *node = Table.get(key);
   const auto line = node == nullptr ? lineOf(Table) : lineOf(*node);
-  Faults.push_back({line, named(key) + ": " + text});
+  Faults.push_back({line, fullKey(key) + ": " + text});
 }
 
 void TableReader::required(std::string_view key, std::string &out) {
@@ -87,11 +87,11 @@
   if (node == nullptr)
     return;
   const auto value = node->value_exact<std::int64_t>();
-  if (value && *value >= range.Least && *value <= range.Most)
+  if (value && *value >= range.Min && *value <= range.Max)
     out = *value;
   else
-    fault(key, absl::StrCat("must be a whole number from ", range.Least, " to ",
-                            range.Most));
+    fault(key, absl::StrCat("must be a whole number from ", range.Min, " to ",
+                            range.Max));
 }
 
 void TableReader::optional(std::string_view key, Range range, Duration &out) {
@@ -118,7 +118,7 @@
     address = address.substr(1, address.size() - 2);
   std::uint32_t port = 0;
   if (!absl::SimpleAtoi(text.substr(colon + 1), &port) || port == 0 ||
-      port > std::numeric_limits<std::uint16_t>::max() || !isIpNumber(address))
+      port > std::numeric_limits<std::uint16_t>::max() || !isIpAddress(address))
     return false;
   out = {address, static_cast<std::uint16_t>(port)};
   return true;
@@ -143,9 +143,9 @@
   const auto *inner = node->as_table();
   if (inner == nullptr)
     return fault(key, "must be a table");
-  TableReader reader(*inner, named(key), Faults);
+  TableReader reader(*inner, fullKey(key), Faults);
   visit(reader);
-  reader.finish();
+  reader.reportUnreadKeys();
 }
 
 void TableReader::tables(std::string_view key, const Visit &visit) {
@@ -161,9 +161,9 @@
       fault(key, "must be an array of tables");
       continue;
     }
-    TableReader reader(*inner, absl::StrCat(named(key), "[", n, "]"), Faults);
+    TableReader reader(*inner, absl::StrCat(fullKey(key), "[", n, "]"), Faults);
     visit(reader);
-    reader.finish();
+    reader.reportUnreadKeys();
   }
 }
 
@@ -180,10 +180,11 @@
   });
 }
 
-void TableReader::finish() {
+void TableReader::reportUnreadKeys() {
   for (const auto &[name, node] : Table)
-    if (Known.find(name.str()) == Known.end())
-      Faults.push_back({lineOf(node), named(name.str()) + ": no such setting"});
+    if (KnownKeys.find(name.str()) == KnownKeys.end())
+      Faults.push_back(
+          {lineOf(node), fullKey(name.str()) + ": no such setting"});
 }
 
 } // namespace stepledge::settings
--- a/src/settings/internal/TableReader.h
+++ b/src/settings/internal/TableReader.h
@@ -24,8 +24,8 @@
 
 /// The allowed range of a whole number.
 struct Range {
-  std::int64_t Least = 0;
-  std::int64_t Most = std::numeric_limits<std::int32_t>::max();
+  std::int64_t Min = 0;
+  std::int64_t Max = std::numeric_limits<std::int32_t>::max();
 };
 
 class TableReader {
@@ -67,18 +67,18 @@
 
   void fault(std::string_view key, const std::string &text);
   /// Adds a fault for every key that was not read.
-  void finish();
+  void reportUnreadKeys();
 
 private:
   const toml::node *find(std::string_view key);
   void checkName(std::string_view key, const std::string &text);
   bool parseEndpoint(const std::string &text, Endpoint &out) const;
-  std::string named(std::string_view key) const;
+  std::string fullKey(std::string_view key) const;
 
   const toml::table &Table;
   std::string Path;
   std::vector<SettingsFault> &Faults;
-  std::set<std::string, std::less<>> Known;
+  std::set<std::string, std::less<>> KnownKeys;
 };
 
 } // namespace stepledge::settings
