--- a/src/admission/tests/AdmissionTest.cpp
+++ b/src/admission/tests/AdmissionTest.cpp
@@ -52,7 +52,7 @@
         ResultCode::Done);
 }
 
-TEST_CASE("RequestQueue_RefusesAtOnceWhatCannotStartInTime") {
+TEST_CASE("RequestQueue_RefusesRequestsThatCannotStartInTime") {
   RequestQueue queue({64, 1});
   for (int n = 0; n < 200; ++n)
     queue.noteService(milliseconds(100));
@@ -63,7 +63,7 @@
   CHECK(refused.Wait > milliseconds(500));
 }
 
-TEST_CASE("RequestQueue_BrowsingTurnsNewestFirstUnderLoad") {
+TEST_CASE("RequestQueue_ServesBrowsingNewestFirstUnderLoad") {
   RequestQueue queue({8, 3});
   for (std::uint64_t n = 1; n <= 3; ++n)
     queue.push(request(n, WorkClass::Browse, 900), at(0));
@@ -71,7 +71,7 @@
   CHECK(idsOf(queue.order()) == Ids{9, 3, 2, 1});
 }
 
-TEST_CASE("RequestQueue_GivesUpWhatHasPassedItsDeadline") {
+TEST_CASE("RequestQueue_RemovesExpiredRequests") {
   RequestQueue queue({8, 3});
   queue.push(request(1, WorkClass::Write, 100), at(0));
   queue.push(request(2, WorkClass::Write, 200), at(0));
--- a/src/base/tests/KeyDigestTest.cpp
+++ b/src/base/tests/KeyDigestTest.cpp
@@ -20,7 +20,7 @@
   CHECK_FALSE(KeyDigest::fromBytes("short"));
 }
 
-TEST_CASE("KeyDigest_WipeLeavesNothing") {
+TEST_CASE("KeyDigest_WipeClearsTheSecret") {
   std::string secret = "a-key";
   wipe(secret);
   CHECK(secret.empty());
--- a/src/base/tests/ResultTableTest.cpp
+++ b/src/base/tests/ResultTableTest.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("ResultTable_CodesRise") {
+TEST_CASE("ResultTable_CodesAreAscending") {
   int last = -1;
   for (const auto &row : resultRows()) {
     CHECK(static_cast<int>(row.Code) > last);
--- a/src/failover/tests/ReplacementDriverTest.cpp
+++ b/src/failover/tests/ReplacementDriverTest.cpp
@@ -75,7 +75,7 @@
   CHECK_FALSE(TermAllotment(0).canIssue());
 }
 
-TEST_CASE("ReplacementDriver_LeavesALivePrimaryAlone") {
+TEST_CASE("ReplacementDriver_KeepsAnAnsweringPrimary") {
   Fixture fixture;
   CHECK(fixture.tick(200).empty());
   CHECK(fixture.Driver.stage() == ReplacementStage::Watching);
@@ -91,7 +91,7 @@
   CHECK(fixture.Driver.stage() == ReplacementStage::Fencing);
 }
 
-TEST_CASE("ReplacementDriver_OneHallThatHearsThePrimaryIsEnoughToWait") {
+TEST_CASE("ReplacementDriver_WaitsIfOneHallReachesThePrimary") {
   Fixture fixture;
   fixture.observeReplicas(400);
   fixture.tick(400);
@@ -101,13 +101,13 @@
   CHECK(fixture.Driver.stage() == ReplacementStage::Asking);
 }
 
-TEST_CASE("ReplacementDriver_DoesNothingWithoutAMajorityInReach") {
+TEST_CASE("ReplacementDriver_DoesNothingWithoutAReachableMajority") {
   Fixture fixture;
   fixture.observe(Two, InstanceRole::Replica, 1, 50, 400);
   CHECK(fixture.tick(400).empty());
 }
 
-TEST_CASE("ReplacementDriver_VmsWithoutANumberNeverDrive") {
+TEST_CASE("ReplacementDriver_VmWithoutNumberNeverReplaces") {
   Fixture fixture;
   ReplacementDriver driver(DriverSettings{}, TermAllotment(0));
   fixture.observeReplicas(400);
@@ -133,7 +133,7 @@
   CHECK(fixture.Driver.stage() == ReplacementStage::Watching);
 }
 
-TEST_CASE("ReplacementDriver_TermGoesBeforePosition") {
+TEST_CASE("ReplacementDriver_PrefersHigherTermOverPosition") {
   // A longer log of an older term is a lost branch.
   Fixture fixture;
   fixture.observe(One, InstanceRole::Primary, 3, 30, 100,
@@ -150,7 +150,7 @@
   CHECK(fixture.tick(411) == Orders{PromoteInstance{Two, Term{7}}});
 }
 
-TEST_CASE("ReplacementDriver_YieldsToWhoeverGotFurther") {
+TEST_CASE("ReplacementDriver_YieldsToAHigherTerm") {
   Fixture fixture;
   fixture.suspectPrimary();
   fixture.tick(410);
@@ -159,7 +159,7 @@
   CHECK(fixture.Driver.stage() == ReplacementStage::Watching);
 }
 
-TEST_CASE("ReplacementDriver_AnotherGoesOnWhereADriverDied") {
+TEST_CASE("ReplacementDriver_ContinuesAfterAFailedVm") {
   // VM 9 fenced a majority and failed before it promoted an instance.
   Fixture fixture;
   fixture.observe(Two, InstanceRole::Fenced, 9, 50, 400);
@@ -172,7 +172,7 @@
   CHECK(std::get<FenceInstance>(orders.back()).Next == Term{4096 + 7});
 }
 
-TEST_CASE("ReplacementDriver_OldPrimaryComesBackAsFollower") {
+TEST_CASE("ReplacementDriver_OldPrimaryIsOrderedToFollow") {
   Fixture fixture;
   const std::vector<routing::TermStart> history = {{Term{1}, {0}},
                                                    {Term{7}, {50}}};
@@ -193,7 +193,7 @@
   CHECK(fixture.Driver.stage() == ReplacementStage::Fencing);
 }
 
-TEST_CASE("ReplacementDriver_LeavingPrimaryIsReplacedByOneThatStays") {
+TEST_CASE("ReplacementDriver_LeavingPrimaryIsReplacedByAStayingInstance") {
   Fixture fixture;
   fixture.View.setLeaving(One, true, at(0));
   const auto observe = [&](std::int64_t ms) {
@@ -213,7 +213,7 @@
   CHECK(fixture.tick(1706) == Orders{PromoteInstance{Two, Term{7}}});
 }
 
-TEST_CASE("ReplacementDriver_LeavingPrimaryStaysWhereNobodyCanTakeOver") {
+TEST_CASE("ReplacementDriver_LeavingPrimaryIsKeptWithoutACandidate") {
   Fixture fixture;
   fixture.View.setLeaving(One, true, at(0));
   fixture.View.setLeaving(Two, true, at(0));
--- a/src/routing/tests/GroupViewTest.cpp
+++ b/src/routing/tests/GroupViewTest.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("GroupView_AgeCountsFromTheQuestionNotTheAnswer") {
+TEST_CASE("GroupView_AgeCountsFromTheQueryNotTheAnswer") {
   auto view = threeInstances();
   view.observe(Two, makeObservation(InstanceRole::Replica, 1, 5), at(100),
                at(110));
@@ -62,7 +62,7 @@
   CHECK_FALSE(view.ageOf(mark(1, 4), at(210)).has_value());
 }
 
-TEST_CASE("GroupView_ReplacedPrimaryInACutHallGrowsOld") {
+TEST_CASE("GroupView_AgeGrowsForAReplacedPrimaryInAPartitionedHall") {
   // Only the old primary answers; no majority confirms that it still is one.
   auto view = threeInstances();
   view.observe(Two, makeObservation(InstanceRole::Replica, 1, 5), at(100),
@@ -96,7 +96,7 @@
   CHECK(view.primary() == Two);
 }
 
-TEST_CASE("GroupView_NoPrimaryOnceAMajorityPromisedMore") {
+TEST_CASE("GroupView_NoPrimaryOnceAMajorityPromisedAHigherTerm") {
   auto view = threeInstances();
   view.observe(One, makeObservation(InstanceRole::Primary, 1, 12), at(100),
                at(101));
@@ -108,7 +108,7 @@
   CHECK_FALSE(view.primary().has_value());
 }
 
-TEST_CASE("GroupView_MajorityHoldsOnlyInOneTerm") {
+TEST_CASE("GroupView_MajorityCountsOnlyInstancesOfOneTerm") {
   auto view = threeInstances();
   view.observe(One, makeObservation(InstanceRole::Primary, 1, 12), at(100),
                at(101));
@@ -122,7 +122,7 @@
   CHECK_FALSE(view.isHeldByMajority(mark(1, 13)));
 }
 
-TEST_CASE("GroupView_OldTermsLogDoesNotCount") {
+TEST_CASE("GroupView_LogOfAnOlderTermDoesNotCount") {
   // The log of a replica that promised term 2 but still ends in term 1 may be
   // truncated later.
   auto view = threeInstances();
@@ -133,7 +133,7 @@
   CHECK_FALSE(view.isHeldByMajority(mark(2, 11)));
 }
 
-TEST_CASE("GroupView_CrossedAnswersAreIgnored") {
+TEST_CASE("GroupView_OutOfOrderAnswersAreIgnored") {
   auto view = threeInstances();
   view.observe(Two, makeObservation(InstanceRole::Replica, 1, 9), at(200),
                at(210));
@@ -142,7 +142,7 @@
   CHECK(view.of(Two).Last.Applied == LogPosition{9});
 }
 
-TEST_CASE("GroupView_OrphanedTermIsForgotten") {
+TEST_CASE("GroupView_OrphanedTermIsRemoved") {
   // Term 2 began at 10 on instance One alone and was lost with it; term 3 began
   // at 12 on a log without term 2.
   auto view = threeInstances();
--- a/src/routing/tests/ReadRouterTest.cpp
+++ b/src/routing/tests/ReadRouterTest.cpp
@@ -89,28 +89,28 @@
   CHECK(verdictOn(decision, One) == Verdict::Eligible);
 }
 
-TEST_CASE("ReadRouter_SessionsOwnWriteRulesOutTheReplicaBehind") {
+TEST_CASE("ReadRouter_ReadAfterOwnWriteSkipsALaggingReplica") {
   Fixture fixture;
   fixture.observeAll(1050, 60, 50, 60);
   const auto decision = fixture.choose(Fixture::browse({mark(55)}), 1055);
   CHECK(chosenBy(decision) == "three");
 }
 
-TEST_CASE("ReadRouter_WaitsShortlyForAReplicaThatCatchesUp") {
+TEST_CASE("ReadRouter_WaitsBrieflyForAReplicaToCatchUp") {
   Fixture fixture;
   fixture.observeAll(1050, 60, 50, 40);
   const auto decision = fixture.choose(Fixture::browse({mark(60)}), 1051);
   CHECK(std::holds_alternative<WaitForCatchUp>(decision.Choice));
 }
 
-TEST_CASE("ReadRouter_GoesToThePrimaryWhereNoReplicaWillDo") {
+TEST_CASE("ReadRouter_FallsBackToThePrimaryWithoutAnEligibleReplica") {
   Fixture fixture;
   auto need = Fixture::browse();
   need.Tried = {Two, Three};
   CHECK(chosenBy(fixture.choose(need, 1010)) == "one");
 }
 
-TEST_CASE("ReadRouter_BusyReplicaIsWaitedFor") {
+TEST_CASE("ReadRouter_WaitsForCapacityIfAllAreBusy") {
   Fixture fixture;
   for (auto &[id, load] : fixture.Load)
     load.CanStart = false;
@@ -126,7 +126,7 @@
   CHECK(wait->Why == ResultCode::NoInstanceFreshEnough);
 }
 
-TEST_CASE("ReadRouter_EjectsByDegreesButNeverAll") {
+TEST_CASE("ReadRouter_EjectsFailingInstancesButNeverAll") {
   Fixture fixture;
   fixture.observeAll(1050, 50, 50, 50);
   for (int n = 0; n < 4; ++n)
@@ -148,7 +148,7 @@
   CHECK(verdictOn(decision, Two) == Verdict::Leaving);
 }
 
-TEST_CASE("ReadRouter_ProofHasTheLastWord") {
+TEST_CASE("ReadRouter_ProofChecksTheReturnedPosition") {
   Fixture fixture;
   const auto need = Fixture::browse({mark(50)});
   const auto prove = [&](std::uint64_t position) {
@@ -160,7 +160,7 @@
   CHECK(prove(49) == Proof::Behind);
 }
 
-TEST_CASE("ReadRouter_UnconfirmedPrimaryAnswersNoCurrentRead") {
+TEST_CASE("ReadRouter_UnconfirmedPrimaryServesNoCurrentRead") {
   Fixture fixture;
   fixture.View.observe(One, makeObservation(InstanceRole::Primary, 50),
                        at(2500), at(2500));
--- a/src/session/tests/SessionTest.cpp
+++ b/src/session/tests/SessionTest.cpp
@@ -46,7 +46,7 @@
   CHECK(codecWith({1})->encode(SessionMarks()).empty());
 }
 
-TEST_CASE("Token_OldKeyHoldsWhileListed") {
+TEST_CASE("Token_OldKeyIsAcceptedWhileListed") {
   SessionMarks marks;
   marks.add(Bookings, mark(1, 5));
   const auto token = codecWith({1})->encode(marks);
@@ -71,7 +71,7 @@
   }
 }
 
-TEST_CASE("Token_BrokenOnesAreRefused") {
+TEST_CASE("Token_MalformedTokensAreRefused") {
   const auto codec = codecWith({1});
   CHECK(codeOf(codec->decode("!!").status()) == ResultCode::TokenBroken);
   CHECK(codeOf(codec->decode(std::string(5000, 'A')).status()) ==
@@ -80,7 +80,7 @@
         ResultCode::TokenTooLarge);
 }
 
-TEST_CASE("Token_ParallelAnswersLoseNoMark") {
+TEST_CASE("Token_MergedTokensLoseNoMark") {
   SessionMarks first;
   SessionMarks second;
   first.add(Bookings, mark(1, 10));
@@ -100,7 +100,7 @@
   CHECK(history.includes(mark(1, 4), mark(1, 5)) == Inclusion::Behind);
 }
 
-TEST_CASE("TermHistory_CarriesOverUpToTheStart") {
+TEST_CASE("TermHistory_IncludesOlderTermUpToTheNextStart") {
   TermHistory history;
   history.addTerm(Term{1}, LogPosition{0});
   history.addTerm(Term{2}, LogPosition{10});
@@ -118,7 +118,7 @@
   CHECK(history.includes(mark(3, 30), mark(1, 10)) == Inclusion::Included);
 }
 
-TEST_CASE("TermHistory_UnknownTermProvesNothing") {
+TEST_CASE("TermHistory_UnknownTermIsUnproved") {
   TermHistory history;
   history.addTerm(Term{2}, LogPosition{10});
   CHECK(history.includes(mark(3, 30), mark(2, 5)) == Inclusion::Unproved);
--- a/src/settings/SettingsModule.cpp
+++ b/src/settings/SettingsModule.cpp
@@ -71,7 +71,7 @@
   reader.tables("instances",
                 [&](TableReader &inner) { readInstance(inner, database); });
   if (database.Instances.empty())
-    reader.fault("instances", "at least one is needed");
+    reader.fault("instances", "at least one is required");
   for (const auto &it : out.Databases)
     if (it.Id == database.Id)
       reader.fault("id", "is used twice");
@@ -146,7 +146,7 @@
   reader.optional("drain_notice_ms", Range{0, 600000}, out.DrainNotice);
   reader.optional("forward_limit_ms", TimeRangeMs, out.ForwardLimit);
   if (out.DefaultDeadline > out.LongestDeadline)
-    reader.fault("default_deadline_ms", "is beyond longest_deadline_ms");
+    reader.fault("default_deadline_ms", "must not exceed longest_deadline_ms");
   if (out.Silence < 2 * out.Observe)
     reader.fault("silence_ms", "must be at least twice observe_ms");
 }
@@ -185,13 +185,13 @@
     inner.requiredEndpoint("mesh", peer.Mesh);
     inner.optionalNumber("number", VmNumberRange, peer.Number);
     if (isNumberTaken(out, peer.Number))
-      inner.fault("number", "is another VM's");
+      inner.fault("number", "is already used by another VM");
     out.Peers.push_back(std::move(peer));
   });
   reader.tables("session_keys",
                 [&](TableReader &inner) { readSessionKey(inner, out); });
   if (out.SessionKeys.empty())
-    reader.fault("session_keys", "at least one is needed");
+    reader.fault("session_keys", "at least one is required");
   reader.durations("distances_ms",
                    [&](const std::string &hall, Duration oneWay) {
                      out.Distances[HallId(hall)] = oneWay;
@@ -199,7 +199,7 @@
   reader.tables("databases",
                 [&](TableReader &inner) { readDatabase(inner, out); });
   if (out.Databases.empty())
-    reader.fault("databases", "at least one is needed");
+    reader.fault("databases", "at least one is required");
   reader.table("dialect",
                [&](TableReader &inner) { readDialect(inner, out.Dialect); });
   reader.table("failover",
@@ -209,7 +209,7 @@
   reader.table("timing",
                [&](TableReader &inner) { readTiming(inner, out.Timing); });
   if (!out.Peers.empty() && !out.Mesh.isSet())
-    reader.fault("peers", "vm.mesh is needed where there are peers");
+    reader.fault("peers", "vm.mesh is required if there are peers");
 }
 
 } // namespace
--- a/src/settings/internal/TableReader.cpp
+++ b/src/settings/internal/TableReader.cpp
@@ -133,7 +133,7 @@
   std::string text;
   required(key, text);
   if (!text.empty() && !parseEndpoint(text, out))
-    fault(key, "must be an IP number and a port, as in \"127.0.0.1:8080\"");
+    fault(key, "must be an IP address and a port, as in \"127.0.0.1:8080\"");
 }
 
 void TableReader::table(std::string_view key, const Visit &visit) {
--- a/src/settings/tests/SettingsTest.cpp
+++ b/src/settings/tests/SettingsTest.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("Settings_ReadsAll") {
+TEST_CASE("Settings_ReadsAllKeys") {
   const auto report = parseSettings(dataFile("good.toml"));
   INFO(describeFaults("good.toml", report.Faults));
   REQUIRE(report.ok());
--- a/src/settings/types/Settings.h
+++ b/src/settings/types/Settings.h
@@ -17,7 +17,7 @@
 
 namespace stepledge::settings {
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct Endpoint {
   std::string Address;
   std::uint16_t Port = 0;
