--- a/src/admission/RetryBudget.h
+++ b/src/admission/RetryBudget.h
@@ -1,8 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file Lets retries be only a share of the traffic, so that they can't feed
-/// a storm.
+/// \file Limits retries to a share of the traffic, which prevents retry storms.
 
 #ifndef STEPLEDGE_ADMISSION_RETRYBUDGET_H
 #define STEPLEDGE_ADMISSION_RETRYBUDGET_H
@@ -13,24 +12,25 @@
 
 class RetryBudget {
 public:
-  /// \p share of requests may be retries; \p reserve of them may come at once.
+  /// Allows \p share of the requests as retries, and bursts of up to \p reserve
+  /// retries.
   RetryBudget(double share, double reserve)
-      : Share(share), Reserve(reserve), Saved(reserve) {}
+      : Share(share), Reserve(reserve), Available(reserve) {}
 
-  void noteRequest() { Saved = std::min(Reserve, Saved + Share); }
+  void noteRequest() { Available = std::min(Reserve, Available + Share); }
 
-  /// Takes one retry out of the budget, if there is one.
+  /// Takes one retry from the budget, if one is available.
   bool take() {
-    if (Saved < 1.0)
+    if (Available < 1.0)
       return false;
-    Saved -= 1.0;
+    Available -= 1.0;
     return true;
   }
 
 private:
   double Share;
   double Reserve;
-  double Saved;
+  double Available;
 };
 
 } // namespace stepledge::admission
--- a/src/session/TermHistory.cpp
+++ b/src/session/TermHistory.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Terms kept; older ones are only of use to sessions long past.
-constexpr std::size_t TermsKept = 1024;
+/// Maximum number of terms; only long ended sessions refer to older ones.
+constexpr std::size_t MaxTerms = 1024;
 
 } // namespace
 
-void TermHistory::learn(Term term, LogPosition start) {
+void TermHistory::addTerm(Term term, LogPosition start) {
   Starts[term] = start;
-  if (Starts.size() > TermsKept)
+  if (Starts.size() > MaxTerms)
     Starts.erase(Starts.begin());
 }
 
@@ -28,8 +28,8 @@
 }
 
 Inclusion TermHistory::carriesOver(Mark mark, Term upTo) const {
-  // NOTE: An instance reports the terms of its log without a gap, so where
-  // both ends are known all between are.
+  // NOTE: An instance reports the terms of its log without a gap, so if both
+  // ends are known, all terms in between are too.
   if (!startOf(upTo) || !startOf(mark.WrittenIn))
     return Inclusion::Unproved;
   for (auto it = Starts.upper_bound(mark.WrittenIn);
@@ -43,9 +43,9 @@
   if (at.WrittenIn < mark.WrittenIn)
     return Inclusion::Behind;
   if (at.WrittenIn > mark.WrittenIn) {
-    const auto kept = carriesOver(mark, at.WrittenIn);
-    if (kept != Inclusion::Included)
-      return kept;
+    const auto inclusion = carriesOver(mark, at.WrittenIn);
+    if (inclusion != Inclusion::Included)
+      return inclusion;
   }
   return at.Position >= mark.Position ? Inclusion::Included : Inclusion::Behind;
 }
--- a/src/session/tests/SessionTest.cpp
+++ b/src/session/tests/SessionTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// Tokens keep what a session saw, and a lost history is never hidden.
+// Tokens keep all marks of a session, and merging never hides a lost history.
 
 #include "base/ResultTable.h"
 #include "session/SessionModule.h"
@@ -46,7 +46,7 @@
   CHECK(codecWith({1})->encode(SessionMarks()).empty());
 }
 
-TEST_CASE("Token_OldKeyHoldsWhileListed") {
+TEST_CASE("Token_OldKeyIsAcceptedWhileListed") {
   SessionMarks marks;
   marks.add(Bookings, mark(1, 5));
   const auto token = codecWith({1})->encode(marks);
@@ -64,14 +64,14 @@
     auto changed = token;
     changed[n] = changed[n] == 'A' ? 'B' : 'A';
     const auto read = codec->decode(changed);
-    // NOTE: The last character's spare bits may not count; the marks must
-    // then be the same.
+    // NOTE: The unused bits of the last character may be ignored; the marks
+    // must then be the same.
     if (read.ok())
       CHECK(*read == marks);
   }
 }
 
-TEST_CASE("Token_BrokenOnesAreRefused") {
+TEST_CASE("Token_MalformedTokensAreRefused") {
   const auto codec = codecWith({1});
   CHECK(codeOf(codec->decode("!!").status()) == ResultCode::TokenBroken);
   CHECK(codeOf(codec->decode(std::string(5000, 'A')).status()) ==
@@ -80,7 +80,7 @@
         ResultCode::TokenTooLarge);
 }
 
-TEST_CASE("Token_ParallelAnswersLoseNoMark") {
+TEST_CASE("Token_MergedTokensLoseNoMark") {
   SessionMarks first;
   SessionMarks second;
   first.add(Bookings, mark(1, 10));
@@ -100,10 +100,10 @@
   CHECK(history.includes(mark(1, 4), mark(1, 5)) == Inclusion::Behind);
 }
 
-TEST_CASE("TermHistory_CarriesOverUpToTheStart") {
+TEST_CASE("TermHistory_IncludesOlderTermUpToTheNextStart") {
   TermHistory history;
-  history.learn(Term{1}, LogPosition{0});
-  history.learn(Term{2}, LogPosition{10});
+  history.addTerm(Term{1}, LogPosition{0});
+  history.addTerm(Term{2}, LogPosition{10});
   CHECK(history.includes(mark(2, 11), mark(1, 10)) == Inclusion::Included);
   CHECK(history.includes(mark(2, 11), mark(1, 11)) == Inclusion::Lost);
   CHECK(history.includes(mark(1, 99), mark(2, 11)) == Inclusion::Behind);
@@ -111,24 +111,24 @@
 
 TEST_CASE("TermHistory_LostInAnyTermBetween") {
   TermHistory history;
-  history.learn(Term{1}, LogPosition{0});
-  history.learn(Term{2}, LogPosition{10});
-  history.learn(Term{3}, LogPosition{20});
+  history.addTerm(Term{1}, LogPosition{0});
+  history.addTerm(Term{2}, LogPosition{10});
+  history.addTerm(Term{3}, LogPosition{20});
   CHECK(history.includes(mark(3, 30), mark(1, 15)) == Inclusion::Lost);
   CHECK(history.includes(mark(3, 30), mark(1, 10)) == Inclusion::Included);
 }
 
-TEST_CASE("TermHistory_UnknownTermProvesNothing") {
+TEST_CASE("TermHistory_UnknownTermIsUnproved") {
   TermHistory history;
-  history.learn(Term{2}, LogPosition{10});
+  history.addTerm(Term{2}, LogPosition{10});
   CHECK(history.includes(mark(3, 30), mark(2, 5)) == Inclusion::Unproved);
   CHECK(history.includes(mark(2, 30), mark(1, 5)) == Inclusion::Unproved);
 }
 
 TEST_CASE("TermHistory_MergedMarksKeepTheLostOne") {
   TermHistory history;
-  history.learn(Term{1}, LogPosition{0});
-  history.learn(Term{2}, LogPosition{10});
+  history.addTerm(Term{1}, LogPosition{0});
+  history.addTerm(Term{2}, LogPosition{10});
   SessionMarks marks;
   marks.add(Bookings, mark(1, 11));
   marks.add(Bookings, mark(2, 12));
--- a/src/settings/tests/SettingsTest.cpp
+++ b/src/settings/tests/SettingsTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// Settings are checked whole: every fault at once, each with its line.
+// All faults of the settings are reported at once, each with its line.
 
 #include "settings/SettingsModule.h"
 
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("Settings_ReadsAll") {
+TEST_CASE("Settings_ReadsAllKeys") {
   const auto report = parseSettings(dataFile("good.toml"));
   INFO(describeFaults("good.toml", report.Faults));
   REQUIRE(report.ok());
