--- a/src/consensus/ConsensusNode.cpp
+++ b/src/consensus/ConsensusNode.cpp
@@ -338,7 +338,7 @@
   return records;
 }
 
-bool ConsensusNode::wantsSnapshot() const {
+bool ConsensusNode::needsSnapshot() const {
   const std::uint64_t applied = Commit - Base.index();
   return applied > Options.SnapshotEntries + Options.EntriesKept ||
          (BytesSinceSnapshot > Options.SnapshotBytes && applied > 1);
--- a/src/consensus/ConsensusNode.h
+++ b/src/consensus/ConsensusNode.h
@@ -81,7 +81,7 @@
   /// Replaces the log up to \p index by the applied state, which is sent to
   /// members that are far behind.
   void takeSnapshot(std::uint64_t index, std::string state);
-  bool wantsSnapshot() const;
+  bool needsSnapshot() const;
   Effects takeEffects();
   /// Returns all records of a new log file.
   std::vector<wire::Record> allRecords() const;
--- a/src/consensus/tests/SimulatedGroup.cpp
+++ b/src/consensus/tests/SimulatedGroup.cpp
@@ -317,7 +317,7 @@
     for (const auto token : effects.ConfirmedReads)
       if (it.AppliedIndex < Reads[token].MinIndex)
         Violation = "a read misses an entry that was committed before the read";
-    if (it.Node->wantsSnapshot() && it.AppliedIndex > 0)
+    if (it.Node->needsSnapshot() && it.AppliedIndex > 0)
       it.Node->takeSnapshot(it.AppliedIndex, stateAt(it.AppliedIndex));
     else if (effects.Ticket == 0 && effects.Messages.empty())
       return;
--- a/src/control/ControlNode.cpp
+++ b/src/control/ControlNode.cpp
@@ -145,7 +145,7 @@
       addKeptInstances(now);
       updateConfiguration();
     }
-    if (Node.wantsSnapshot())
+    if (Node.needsSnapshot())
       Node.takeSnapshot(State.appliedIndex(), State.serialize());
   }
   IsRunningEffects = false;
--- a/src/daemon/internal/RequestService.cpp
+++ b/src/daemon/internal/RequestService.cpp
@@ -231,8 +231,8 @@
     return answerSilence(from, envelope.silence_call());
   if (envelope.has_silence_answer()) {
     const auto &said = envelope.silence_answer();
-    return tell(request::PeerOpinion{DatabaseId(said.database()), from,
-                                     Term{said.term()}, said.is_silent()});
+    return tell(request::PeerReport{DatabaseId(said.database()), from,
+                                    Term{said.term()}, said.is_silent()});
   }
   if (envelope.has_explain_call()) {
     mesh::wire::Envelope reply;
@@ -354,7 +354,7 @@
 void RequestService::refuseNew() { tell(request::StopRequested{}); }
 
 bool RequestService::isDrained() const {
-  return Waiting.empty() && (!Coordinator || Coordinator->openWork() == 0);
+  return Waiting.empty() && (!Coordinator || Coordinator->openWorkCount() == 0);
 }
 
 } // namespace stepledge::daemon
--- a/src/distribution/ConfigurationFetch.cpp
+++ b/src/distribution/ConfigurationFetch.cpp
@@ -3,7 +3,7 @@
 
 #include "distribution/ConfigurationFetch.h"
 
-#include "distribution/ChangeCodec.h"
+#include "distribution/DeltaCodec.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/distribution/ConfigurationFetch.h
+++ b/src/distribution/ConfigurationFetch.h
@@ -8,7 +8,7 @@
 #define STEPLEDGE_DISTRIBUTION_CONFIGURATIONFETCH_H
 
 #include "base/types/Time.h"
-#include "distribution/types/ConfigurationChange.h"
+#include "distribution/types/ConfigurationDelta.h"
 #include "peer/IPeerSender.h"
 
 #include <cstdint>
@@ -52,7 +52,7 @@
   PartResult take(const std::string &ip,
                   const peer::wire::ConfigurationPart &part);
   /// The delta of the last take() that returned Complete.
-  const ConfigurationChange &change() const { return Delta; }
+  const ConfigurationDelta &change() const { return Delta; }
   /// The delta was applied.
   void accept() { Timeout = InitialTimeout; }
   /// The delta could not be applied: the next fetch waits for Timeout, and
@@ -80,7 +80,7 @@
   /// Earliest time of the next fetch after a rejected delta.
   TimePoint NotBefore{};
   Duration Timeout = InitialTimeout;
-  ConfigurationChange Delta;
+  ConfigurationDelta Delta;
 };
 
 } // namespace stepledge::distribution
--- a/src/distribution/ConfigurationHistory.cpp
+++ b/src/distribution/ConfigurationHistory.cpp
@@ -3,7 +3,7 @@
 
 #include "distribution/ConfigurationHistory.h"
 
-#include "distribution/ChangeCodec.h"
+#include "distribution/DeltaCodec.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,7 +19,7 @@
 } // namespace
 
 void ConfigurationHistory::take(control::Configuration configuration) {
-  Deltas.push_back(changeBetween(Newest, configuration));
+  Deltas.push_back(deltaBetween(Newest, configuration));
   DeltaRoutes += Deltas.back().size();
   Newest = std::move(configuration);
   Encoded.clear();
@@ -44,11 +44,11 @@
 
 std::string ConfigurationHistory::encodeFrom(const DeltaIterator &first) const {
   if (first == Deltas.end() || first->From == 0)
-    return encodeChange(changeBetween({}, Newest));
-  ConfigurationChange delta = *first;
+    return encodeDelta(deltaBetween({}, Newest));
+  ConfigurationDelta delta = *first;
   for (auto it = first + 1; it != Deltas.end(); ++it)
     extendDelta(delta, *it);
-  return encodeChange(delta);
+  return encodeDelta(delta);
 }
 
 } // namespace stepledge::distribution
--- a/src/distribution/ConfigurationHistory.h
+++ b/src/distribution/ConfigurationHistory.h
@@ -6,7 +6,7 @@
 #ifndef STEPLEDGE_DISTRIBUTION_CONFIGURATIONHISTORY_H
 #define STEPLEDGE_DISTRIBUTION_CONFIGURATIONHISTORY_H
 
-#include "distribution/types/ConfigurationChange.h"
+#include "distribution/types/ConfigurationDelta.h"
 
 #include <cstdint>
 #include <deque>
@@ -27,7 +27,7 @@
   std::shared_ptr<const std::string> deltaFrom(std::uint64_t version);
 
 private:
-  using DeltaIterator = std::deque<ConfigurationChange>::const_iterator;
+  using DeltaIterator = std::deque<ConfigurationDelta>::const_iterator;
 
   /// Encodes the deltas from \p first on as one; the full configuration if \p
   /// first is the end.
@@ -36,7 +36,7 @@
   control::Configuration Newest;
   /// Each delta starts at the version where the previous one ends; the last one
   /// ends at the newest version.
-  std::deque<ConfigurationChange> Deltas;
+  std::deque<ConfigurationDelta> Deltas;
   /// Total number of routes in Deltas.
   std::size_t DeltaRoutes = 0;
   /// Requested encoded deltas to the newest configuration by the version they
--- a/src/distribution/ChangeCodec.cpp
+++ b/src/distribution/DeltaCodec.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "distribution/ChangeCodec.h"
+#include "distribution/DeltaCodec.h"
 
 #include "distribution/generated/Distribution.pb.h"
 
@@ -47,7 +47,7 @@
   return policy <= static_cast<std::uint32_t>(ReadPolicy::ReadYourWrites);
 }
 
-void encodeRoutes(const ConfigurationChange &delta, wire::Change &out) {
+void encodeRoutes(const ConfigurationDelta &delta, wire::Change &out) {
   std::map<decltype(settingsOf(Route())), wire::RouteGroup *> groups;
   for (const auto &[database, route] : delta.Routes) {
     auto &group = groups[settingsOf(route)];
@@ -61,7 +61,7 @@
     out.add_removed_routes(it.str());
 }
 
-void encodeServices(const ConfigurationChange &delta, wire::Change &out) {
+void encodeServices(const ConfigurationDelta &delta, wire::Change &out) {
   for (const auto &[name, service] : delta.Services) {
     auto &it = *out.add_services();
     it.set_name(name);
@@ -72,7 +72,7 @@
     out.add_removed_services(it);
 }
 
-void encodeOrganisations(const ConfigurationChange &delta, wire::Change &out) {
+void encodeOrganisations(const ConfigurationDelta &delta, wire::Change &out) {
   for (const auto &[id, organisation] : delta.Organisations) {
     auto &it = *out.add_organisations();
     it.set_id(id.str());
@@ -88,7 +88,7 @@
 }
 
 /// False if a key is not a digest.
-bool decodeOrganisations(const wire::Change &in, ConfigurationChange &delta) {
+bool decodeOrganisations(const wire::Change &in, ConfigurationDelta &delta) {
   for (const auto &it : in.organisations()) {
     control::Organisation organisation;
     organisation.Id = OrganisationId(it.id());
@@ -111,7 +111,7 @@
 
 } // namespace
 
-std::string encodeChange(const ConfigurationChange &delta) {
+std::string encodeDelta(const ConfigurationDelta &delta) {
   wire::Change out;
   out.set_from(delta.From);
   out.set_to(delta.To);
@@ -123,11 +123,11 @@
   return out.SerializeAsString();
 }
 
-std::optional<ConfigurationChange> decodeDelta(const std::string &bytes) {
+std::optional<ConfigurationDelta> decodeDelta(const std::string &bytes) {
   wire::Change in;
   if (!in.ParseFromString(bytes))
     return std::nullopt;
-  ConfigurationChange delta;
+  ConfigurationDelta delta;
   delta.From = in.from();
   delta.To = in.to();
   for (const auto &group : in.routes()) {
--- a/src/distribution/ChangeCodec.h
+++ b/src/distribution/DeltaCodec.h
@@ -3,10 +3,10 @@
 
 /// \file Encoding of configuration deltas.
 
-#ifndef STEPLEDGE_DISTRIBUTION_CHANGECODEC_H
-#define STEPLEDGE_DISTRIBUTION_CHANGECODEC_H
+#ifndef STEPLEDGE_DISTRIBUTION_DELTACODEC_H
+#define STEPLEDGE_DISTRIBUTION_DELTACODEC_H
 
-#include "distribution/types/ConfigurationChange.h"
+#include "distribution/types/ConfigurationDelta.h"
 
 #include <optional>
 #include <string>
@@ -14,11 +14,11 @@
 namespace stepledge::distribution {
 
 /// Returns the same bytes for equal deltas.
-std::string encodeChange(const ConfigurationChange &delta);
+std::string encodeDelta(const ConfigurationDelta &delta);
 
 /// Returns nothing if \p bytes can't be decoded.
-std::optional<ConfigurationChange> decodeDelta(const std::string &bytes);
+std::optional<ConfigurationDelta> decodeDelta(const std::string &bytes);
 
 } // namespace stepledge::distribution
 
-#endif // STEPLEDGE_DISTRIBUTION_CHANGECODEC_H
+#endif // STEPLEDGE_DISTRIBUTION_DELTACODEC_H
--- a/src/distribution/tests/ConfigurationChangeTest.cpp
+++ b/src/distribution/tests/ConfigurationDeltaTest.cpp
@@ -3,7 +3,7 @@
 
 /// \file Deltas between configurations, and their encoding.
 
-#include "distribution/ChangeCodec.h"
+#include "distribution/DeltaCodec.h"
 
 #include "control/tests/RouteListDocument.h"
 
@@ -69,54 +69,54 @@
 
 } // namespace
 
-TEST_CASE("ConfigurationChange_JoinedDeltasYieldTheTarget") {
+TEST_CASE("ConfigurationDelta_JoinedDeltasYieldTheTarget") {
   std::mt19937_64 random(7);
   for (std::uint64_t i = 1; i <= 300; ++i) {
     const auto from = randomConfiguration(3 * i, random);
     const auto middle = randomConfiguration(3 * i + 1, random);
     const auto to = randomConfiguration(3 * i + 2, random);
-    auto delta = changeBetween(from, middle);
-    extendDelta(delta, changeBetween(middle, to));
-    const auto decoded = decodeDelta(encodeChange(delta));
+    auto delta = deltaBetween(from, middle);
+    extendDelta(delta, deltaBetween(middle, to));
+    const auto decoded = decodeDelta(encodeDelta(delta));
     REQUIRE(decoded);
     auto result = from;
-    REQUIRE(applyChange(result, *decoded));
+    REQUIRE(applyDelta(result, *decoded));
     CHECK(isEqual(result, to));
   }
 }
 
-TEST_CASE("ConfigurationChange_AppliesOnlyToItsStartVersion") {
+TEST_CASE("ConfigurationDelta_AppliesOnlyToItsStartVersion") {
   auto held = routes(3, 10);
-  const auto delta = changeBetween(routes(4, 10), routes(5, 12));
-  CHECK(!applyChange(held, delta));
+  const auto delta = deltaBetween(routes(4, 10), routes(5, 12));
+  CHECK(!applyDelta(held, delta));
   // The digest shows that the same version has different content.
   auto other = routes(4, 10, 900);
-  CHECK(!applyChange(other, changeBetween(routes(4, 11), routes(5, 12))));
+  CHECK(!applyDelta(other, deltaBetween(routes(4, 11), routes(5, 12))));
 }
 
-TEST_CASE("ConfigurationChange_FullOneReplacesAnyConfiguration") {
+TEST_CASE("ConfigurationDelta_FullOneReplacesAnyConfiguration") {
   auto held = routes(3, 10);
-  CHECK(applyChange(held, changeBetween({}, routes(9, 4))));
+  CHECK(applyDelta(held, deltaBetween({}, routes(9, 4))));
   CHECK(isEqual(held, routes(9, 4)));
 }
 
-TEST_CASE("ConfigurationChange_InvalidBytesAreRefused") {
+TEST_CASE("ConfigurationDelta_InvalidBytesAreRefused") {
   CHECK(!decodeDelta("no change"));
 }
 
-TEST_CASE("ConfigurationChange_SizeBenchmark") {
+TEST_CASE("ConfigurationDelta_SizeBenchmark") {
   // In the operators' document, 1,400 routes take 260 KB, and each change once
   // sent as much to an entry VM. Encoded they take 17 KB, and one changed route
   // among them takes 28 bytes.
   const std::string document = routeListDocument(2, 1400);
-  const auto full = encodeChange(changeBetween({}, routes(2, 1400)));
+  const auto full = encodeDelta(deltaBetween({}, routes(2, 1400)));
   CHECK(document.size() > 250'000);
   CHECK(full.size() < 20'000);
-  const auto one = changeBetween(routes(2, 1400), routes(3, 1400, 900));
-  CHECK(encodeChange(one).size() < 60);
+  const auto one = deltaBetween(routes(2, 1400), routes(3, 1400, 900));
+  CHECK(encodeDelta(one).size() < 60);
 }
 
-TEST_CASE("ConfigurationChange_OfOneKeySendsOneOrganisation") {
+TEST_CASE("ConfigurationDelta_OfOneKeySendsOneOrganisation") {
   Configuration from;
   from.Version = 1;
   from.HasOrganisations = true;
@@ -128,20 +128,20 @@
   Configuration to = from;
   to.Version = 2;
   to.Organisations[OrganisationId("o7")].Keys.clear();
-  const auto delta = changeBetween(from, to);
+  const auto delta = deltaBetween(from, to);
   CHECK(delta.Organisations.size() == 1);
-  CHECK(encodeChange(delta).size() < 64);
-  REQUIRE(applyChange(from, delta));
+  CHECK(encodeDelta(delta).size() < 64);
+  REQUIRE(applyDelta(from, delta));
   CHECK(isEqual(from, to));
 }
 
-TEST_CASE("ConfigurationChange_KeyOfAnotherLengthIsRefused") {
-  ConfigurationChange delta;
+TEST_CASE("ConfigurationDelta_KeyOfAnotherLengthIsRefused") {
+  ConfigurationDelta delta;
   control::Organisation organisation;
   organisation.Id = OrganisationId("o");
   organisation.Keys = {KeyDigest::of("k")};
   delta.Organisations[organisation.Id] = organisation;
-  std::string bytes = encodeChange(delta);
+  std::string bytes = encodeDelta(delta);
   const auto at = bytes.find(KeyDigest::of("k").toBytes());
   REQUIRE(at != std::string::npos);
   // Removes one byte from the key, and adjusts the lengths of the key and of
--- a/src/distribution/tests/ConfigurationHistoryTest.cpp
+++ b/src/distribution/tests/ConfigurationHistoryTest.cpp
@@ -6,7 +6,7 @@
 #include "distribution/ConfigurationHistory.h"
 
 #include "control/tests/RouteListDocument.h"
-#include "distribution/ChangeCodec.h"
+#include "distribution/DeltaCodec.h"
 
 #include <doctest/doctest.h>
 
@@ -22,8 +22,8 @@
   return *decodeRouteList(routeListDocument(version, count, timeoutMs));
 }
 
-ConfigurationChange deltaFrom(ConfigurationHistory &history,
-                              std::uint64_t version) {
+ConfigurationDelta deltaFrom(ConfigurationHistory &history,
+                             std::uint64_t version) {
   const auto delta = decodeDelta(*history.deltaFrom(version));
   REQUIRE(delta);
   return *delta;
--- a/src/distribution/types/ConfigurationChange.cpp
+++ b/src/distribution/types/ConfigurationDelta.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "distribution/types/ConfigurationChange.h"
+#include "distribution/types/ConfigurationDelta.h"
 
 #include <xxhash.h>
 
@@ -91,9 +91,9 @@
 
 } // namespace
 
-ConfigurationChange changeBetween(const control::Configuration &from,
-                                  const control::Configuration &to) {
-  ConfigurationChange delta;
+ConfigurationDelta deltaBetween(const control::Configuration &from,
+                                const control::Configuration &to) {
+  ConfigurationDelta delta;
   delta.From = from.Version;
   delta.To = to.Version;
   compare(from.Routes, to.Routes, delta.Routes, delta.RemovedRoutes);
@@ -106,7 +106,7 @@
   return delta;
 }
 
-void extendDelta(ConfigurationChange &delta, const ConfigurationChange &next) {
+void extendDelta(ConfigurationDelta &delta, const ConfigurationDelta &next) {
   extend(delta.Routes, delta.RemovedRoutes, next.Routes, next.RemovedRoutes);
   extend(delta.Services, delta.RemovedServices, next.Services,
          next.RemovedServices);
@@ -118,8 +118,8 @@
   delta.Digest = next.Digest;
 }
 
-bool applyChange(control::Configuration &configuration,
-                 const ConfigurationChange &delta) {
+bool applyDelta(control::Configuration &configuration,
+                const ConfigurationDelta &delta) {
   const bool isFull = delta.From == 0;
   if (!isFull && delta.From != configuration.Version)
     return false;
--- a/src/distribution/types/ConfigurationChange.h
+++ b/src/distribution/types/ConfigurationDelta.h
@@ -3,8 +3,8 @@
 
 /// \file The delta between two versions of the configuration.
 
-#ifndef STEPLEDGE_DISTRIBUTION_TYPES_CONFIGURATIONCHANGE_H
-#define STEPLEDGE_DISTRIBUTION_TYPES_CONFIGURATIONCHANGE_H
+#ifndef STEPLEDGE_DISTRIBUTION_TYPES_CONFIGURATIONDELTA_H
+#define STEPLEDGE_DISTRIBUTION_TYPES_CONFIGURATIONDELTA_H
 
 #include "control/types/Configuration.h"
 
@@ -16,7 +16,7 @@
 
 namespace stepledge::distribution {
 
-struct ConfigurationChange {
+struct ConfigurationDelta {
   /// Version that the delta applies to; 0 for a full configuration.
   std::uint64_t From = 0;
   std::uint64_t To = 0;
@@ -37,22 +37,22 @@
 };
 
 /// Returns the delta from \p from, which may be empty, to \p to.
-ConfigurationChange changeBetween(const control::Configuration &from,
-                                  const control::Configuration &to);
+ConfigurationDelta deltaBetween(const control::Configuration &from,
+                                const control::Configuration &to);
 
 /// Extends \p delta by \p next, which starts at the version where \p delta
 /// ends.
-void extendDelta(ConfigurationChange &delta, const ConfigurationChange &next);
+void extendDelta(ConfigurationDelta &delta, const ConfigurationDelta &next);
 
 /// Applies \p delta. False if \p configuration isn't the version that the
 /// delta starts from, or the result differs from the sender's configuration; \p
 /// configuration is then unusable.
-bool applyChange(control::Configuration &configuration,
-                 const ConfigurationChange &delta);
+bool applyDelta(control::Configuration &configuration,
+                const ConfigurationDelta &delta);
 
 /// Returns the same digest for equal configurations on every VM.
 std::uint64_t digestOf(const control::Configuration &configuration);
 
 } // namespace stepledge::distribution
 
-#endif // STEPLEDGE_DISTRIBUTION_TYPES_CONFIGURATIONCHANGE_H
+#endif // STEPLEDGE_DISTRIBUTION_TYPES_CONFIGURATIONDELTA_H
--- a/src/entry/EntryNode.cpp
+++ b/src/entry/EntryNode.cpp
@@ -224,7 +224,7 @@
   if (change.To <= Proxy.configurationVersion())
     return true;
   auto configuration = Proxy.configuration();
-  if (!distribution::applyChange(configuration, change)) {
+  if (!distribution::applyDelta(configuration, change)) {
     Log.decision(absl::StrCat("event=configuration_mismatch from=", change.From,
                               " version=", change.To,
                               " held=", Proxy.configurationVersion()));
--- a/src/entry/tests/EntryFixture.h
+++ b/src/entry/tests/EntryFixture.h
@@ -8,7 +8,7 @@
 
 #include "entry/EntryNode.h"
 
-#include "distribution/ChangeCodec.h"
+#include "distribution/DeltaCodec.h"
 #include "proxy/tests/FakeIo.h"
 #include "quota/tests/FakeQuota.h"
 
@@ -67,11 +67,11 @@
     route.StatementTimeout = milliseconds(800);
     route.LatencyObjective = milliseconds(250);
     configuration.Routes[route.Database] = route;
-    giveChange(distribution::changeBetween({}, configuration));
+    giveChange(distribution::deltaBetween({}, configuration));
   }
 
-  void giveChange(const distribution::ConfigurationChange &change) {
-    const auto bytes = distribution::encodeChange(change);
+  void giveChange(const distribution::ConfigurationDelta &change) {
+    const auto bytes = distribution::encodeDelta(change);
     peer::wire::Message message;
     auto &part = *message.mutable_configuration_part();
     part.set_fetch(Control.LastRequest.fetch());
--- a/src/entry/tests/EntryTest.cpp
+++ b/src/entry/tests/EntryTest.cpp
@@ -45,7 +45,7 @@
   it.giveWhole(7);
   it.notice(9, true);
   CHECK(it.Control.LastRequest.held_version() == 7);
-  distribution::ConfigurationChange change;
+  distribution::ConfigurationDelta change;
   change.From = 7;
   change.To = 9;
   change.Services["other"] = {"other", 5, 0};
--- a/src/failover/ReplacementDriver.h
+++ b/src/failover/ReplacementDriver.h
@@ -62,7 +62,9 @@
 
   ReplacementStage stage() const { return Stage; }
   /// Whether the instances should be observed more often than usual.
-  bool isEager() const { return Stage != ReplacementStage::Watching; }
+  bool needsFrequentPolling() const {
+    return Stage != ReplacementStage::Watching;
+  }
 
 private:
   void watch(const routing::GroupView &view, TimePoint now,
--- a/src/request/DecisionText.cpp
+++ b/src/request/DecisionText.cpp
@@ -93,8 +93,9 @@
 std::string sentence(const routing::RouteDecision &decision) {
   std::string out = std::visit(ChoiceSentence(), decision.Choice);
   for (const auto &it : decision.Considered) {
-    absl::StrAppend(&out, " ", it.Instance.str(), " ",
-                    std::string(nameIn(routing::VerdictNames, it.Said)));
+    absl::StrAppend(
+        &out, " ", it.Instance.str(), " ",
+        std::string(nameIn(routing::VerdictNames, it.InstanceVerdict)));
     if (it.Age)
       absl::StrAppendFormat(&out, " (%.0f ms old)", toMilliseconds(*it.Age));
     absl::StrAppend(&out, ";");
--- a/src/request/IRequestCoordinator.h
+++ b/src/request/IRequestCoordinator.h
@@ -25,7 +25,7 @@
   virtual std::optional<TimePoint> nextWake() const = 0;
 
   /// The number of unfinished requests and transactions.
-  virtual std::size_t openWork() const = 0;
+  virtual std::size_t openWorkCount() const = 0;
 
   /// Whether no primary of \p database has answered recently. Other VMs query
   /// this before they replace the primary.
--- a/src/request/internal/DatabaseCoordinator.cpp
+++ b/src/request/internal/DatabaseCoordinator.cpp
@@ -333,7 +333,7 @@
   return next;
 }
 
-std::size_t DatabaseCoordinator::openWork() const {
+std::size_t DatabaseCoordinator::openWorkCount() const {
   return Context.Requests.size() + Transactions.openCount();
 }
 
--- a/src/request/internal/DatabaseCoordinator.h
+++ b/src/request/internal/DatabaseCoordinator.h
@@ -34,7 +34,7 @@
     Context.View.setLeaving(instance, leaving, now);
   }
 
-  void receivePeerReport(const PeerOpinion &opinion) {
+  void receivePeerReport(const PeerReport &opinion) {
     Replacing.receivePeerReport(opinion);
   }
   bool isPrimarySilent(TimePoint now) const { return Replacing.isSilent(now); }
@@ -43,7 +43,7 @@
   void advance(TimePoint now);
   Effects takeEffects();
   std::optional<TimePoint> nextWake(TimePoint now) const;
-  std::size_t openWork() const;
+  std::size_t openWorkCount() const;
   bool isServing(TimePoint now) const;
 
 private:
--- a/src/request/internal/ReplacementFlow.cpp
+++ b/src/request/internal/ReplacementFlow.cpp
@@ -52,7 +52,7 @@
     std::visit([this, now](const auto &order) { sendOrder(order, now); }, it);
 }
 
-void ReplacementFlow::receivePeerReport(const PeerOpinion &opinion) {
+void ReplacementFlow::receivePeerReport(const PeerReport &opinion) {
   Driver.peerSaid(opinion.Peer, opinion.Current, opinion.IsSilent);
 }
 
--- a/src/request/internal/ReplacementFlow.h
+++ b/src/request/internal/ReplacementFlow.h
@@ -18,11 +18,11 @@
   ReplacementFlow(DatabaseContext &context, ObserveFlow &observing);
 
   void tick(TimePoint now);
-  void receivePeerReport(const PeerOpinion &opinion);
+  void receivePeerReport(const PeerReport &opinion);
   bool isSilent(TimePoint now) const {
     return Driver.isSilent(Context.View, now);
   }
-  bool needsFastPolling() const { return Driver.isEager(); }
+  bool needsFastPolling() const { return Driver.needsFrequentPolling(); }
 
 private:
   void sendOrder(const failover::FenceInstance &order, TimePoint now);
--- a/src/request/internal/RequestCoordinator.cpp
+++ b/src/request/internal/RequestCoordinator.cpp
@@ -110,7 +110,7 @@
       found->second->setLeaving(it.Instance, it.Leaving, Now);
       Self.collectEffects(*found->second, Now, Out);
     }
-    void operator()(const PeerOpinion &it) const {
+    void operator()(const PeerReport &it) const {
       const auto found = Self.Databases.find(it.Database);
       if (found == Self.Databases.end())
         return;
@@ -132,10 +132,10 @@
   return next;
 }
 
-std::size_t RequestCoordinator::openWork() const {
+std::size_t RequestCoordinator::openWorkCount() const {
   std::size_t n = 0;
   for (const auto &[id, database] : Databases)
-    n += database->openWork();
+    n += database->openWorkCount();
   return n;
 }
 
--- a/src/request/internal/RequestCoordinator.h
+++ b/src/request/internal/RequestCoordinator.h
@@ -22,7 +22,7 @@
 
   Effects onEvent(const Event &event, TimePoint now) override;
   std::optional<TimePoint> nextWake() const override;
-  std::size_t openWork() const override;
+  std::size_t openWorkCount() const override;
   bool isPrimarySilent(const DatabaseId &database,
                        TimePoint now) const override;
   bool isServing(TimePoint now) const override;
--- a/src/request/tests/DifferentialTest.cpp
+++ b/src/request/tests/DifferentialTest.cpp
@@ -90,7 +90,7 @@
   bool isSilent() const {
     return Coordinator->isPrimarySilent(Database, Group.now());
   }
-  void receive(const PeerOpinion &opinion) { sendEvent(opinion); }
+  void receive(const PeerReport &opinion) { sendEvent(opinion); }
 
   void submit(CallerRequest request, AnswerHandler onAnswer) {
     request.Id = RequestId{++Requests};
@@ -269,9 +269,9 @@
         continue;
       Group.after(Group.upTo(3000), [this, asker, n, question] {
         const bool isSilent = All[static_cast<std::size_t>(n)]->isSilent();
-        const PeerOpinion opinion{question.Database,
-                                  VmId("vm" + std::to_string(n)),
-                                  question.Current, isSilent};
+        const PeerReport opinion{question.Database,
+                                 VmId("vm" + std::to_string(n)),
+                                 question.Current, isSilent};
         Group.after(Group.upTo(3000), [this, asker, opinion] {
           All[static_cast<std::size_t>(asker)]->receive(opinion);
         });
--- a/src/request/types/Events.h
+++ b/src/request/types/Events.h
@@ -51,7 +51,7 @@
 };
 
 /// Another VM reports whether it gets no answers from the primary of that term.
-struct PeerOpinion {
+struct PeerReport {
   DatabaseId Database;
   VmId Peer;
   Term Current;
@@ -60,7 +60,7 @@
 
 using Event = std::variant<RequestArrived, ConnectionOpened, ConnectionLost,
                            BatchFinished, TimePassed, StopRequested,
-                           InstanceLeaving, PeerOpinion>;
+                           InstanceLeaving, PeerReport>;
 
 struct OpenConnection {
   ConnectionId Connection;
--- a/src/routing/ReadRouter.cpp
+++ b/src/routing/ReadRouter.cpp
@@ -38,7 +38,7 @@
 }
 
 bool isEligible(const ConsideredInstance &it) {
-  return it.Said == Verdict::Eligible;
+  return it.InstanceVerdict == Verdict::Eligible;
 }
 
 std::vector<std::size_t>
@@ -52,8 +52,9 @@
 
 bool anyHasVerdict(const std::vector<ConsideredInstance> &list,
                    Verdict verdict) {
-  return std::any_of(list.begin(), list.end(),
-                     [verdict](const auto &it) { return it.Said == verdict; });
+  return std::any_of(list.begin(), list.end(), [verdict](const auto &it) {
+    return it.InstanceVerdict == verdict;
+  });
 }
 
 } // namespace
@@ -140,14 +141,17 @@
   for (const auto &[id, state] : view.all()) {
     const auto evaluation = evaluate(need, view, id, state, now);
     const auto load = loads.find(id);
-    ConsideredInstance entry{
-        id, evaluation.Said, view.ageOf(state.Last.appliedMark(), now), {}};
-    if (evaluation.Said == Verdict::Eligible && load != loads.end()) {
+    ConsideredInstance entry{id,
+                             evaluation.InstanceVerdict,
+                             view.ageOf(state.Last.appliedMark(), now),
+                             {}};
+    if (evaluation.InstanceVerdict == Verdict::Eligible &&
+        load != loads.end()) {
       entry.Cost = costOf(load->second, state.Health);
       if (!load->second.CanStart)
-        entry.Said = Verdict::Busy;
+        entry.InstanceVerdict = Verdict::Busy;
       else if (state.Health < EjectedBelow)
-        entry.Said = Verdict::Ejected;
+        entry.InstanceVerdict = Verdict::Ejected;
     }
     const bool isSooner = evaluation.CaughtUpAt &&
                           (!catchUp || *evaluation.CaughtUpAt < catchUp->Until);
@@ -163,8 +167,8 @@
   // NOTE: If all usable instances are ejected, they are eligible again.
   if (eligibleIn(considered).empty())
     for (auto &it : considered)
-      if (it.Said == Verdict::Ejected)
-        it.Said = Verdict::Eligible;
+      if (it.InstanceVerdict == Verdict::Ejected)
+        it.InstanceVerdict = Verdict::Eligible;
 
   auto candidates = eligibleIn(considered);
   const bool hasReplica =
@@ -179,7 +183,7 @@
     decision.Choice = *catchUp;
   } else if (!candidates.empty()) {
     const auto chosen = pickCheaperOfTwo(candidates, considered, random);
-    considered[chosen].Said = Verdict::Chosen;
+    considered[chosen].InstanceVerdict = Verdict::Chosen;
     decision.Choice = UseInstance{considered[chosen].Instance};
   } else if (anyHasVerdict(considered, Verdict::Busy)) {
     decision.Choice = WaitForCapacity{};
--- a/src/routing/ReadRouter.h
+++ b/src/routing/ReadRouter.h
@@ -51,7 +51,7 @@
 
 private:
   struct Evaluation {
-    Verdict Said;
+    Verdict InstanceVerdict;
     /// When an instance that is behind now is expected to have caught up.
     std::optional<TimePoint> CaughtUpAt;
   };
--- a/src/routing/tests/ReadRouterTest.cpp
+++ b/src/routing/tests/ReadRouterTest.cpp
@@ -68,7 +68,7 @@
 Verdict verdictOn(const RouteDecision &decision, const InstanceId &instance) {
   for (const auto &it : decision.Considered)
     if (it.Instance == instance)
-      return it.Said;
+      return it.InstanceVerdict;
   return Verdict::Silent;
 }
 
--- a/src/routing/types/RouteDecision.h
+++ b/src/routing/types/RouteDecision.h
@@ -77,7 +77,7 @@
 /// The verdict on one instance at the time of the decision.
 struct ConsideredInstance {
   InstanceId Instance;
-  Verdict Said = Verdict::Silent;
+  Verdict InstanceVerdict = Verdict::Silent;
   std::optional<Duration> Age;
   /// Expected time to the answer; set only for eligible instances.
   Duration Cost{0};
