--- a/src/api/internal/AnswerWriter.cpp
+++ b/src/api/internal/AnswerWriter.cpp
@@ -60,11 +60,11 @@
     body["rows"] = rowsJson(answer.Result.Rows);
     body["affected_rows"] = answer.Result.AffectedRows;
     body["answered_by"] = answer.AnsweredBy.str();
-    body["from_replica"] = answer.FromReplica;
+    body["from_replica"] = answer.IsFromReplica;
   }
   if (answer.Age)
     body["age_ms"] = toMilliseconds(*answer.Age);
-  if (answer.Replayed)
+  if (answer.IsReplayed)
     body["replayed"] = true;
   if (!answer.Transaction.empty())
     body["transaction"] = answer.Transaction.str();
--- a/src/api/internal/RequestReader.cpp
+++ b/src/api/internal/RequestReader.cpp
@@ -160,7 +160,7 @@
   CallerSubmission out;
   out.TimeAllowed = fields.timeAllowed();
   out.Request.Database = database;
-  out.Request.Asked = std::move(call);
+  out.Request.Operation = std::move(call);
   if (!fields.status().ok())
     return fields.status();
   return out;
--- a/src/api/tests/ApiTest.cpp
+++ b/src/api/tests/ApiTest.cpp
@@ -121,7 +121,7 @@
                R"("max_age_ms":500,"deadline_ms":250})");
   REQUIRE(fixture.Gateway.Seen.size() == 1);
   const auto &seen = fixture.Gateway.Seen[0];
-  const auto &read = std::get<request::ReadCall>(seen.Request.Asked);
+  const auto &read = std::get<request::ReadCall>(seen.Request.Operation);
   CHECK(seen.Request.Database == DatabaseId("bookings"));
   CHECK(seen.TimeAllowed == milliseconds(250));
   CHECK(read.MaxAge == milliseconds(500));
--- a/src/bench/SlopesExperiment.cpp
+++ b/src/bench/SlopesExperiment.cpp
@@ -86,7 +86,7 @@
     request.Database = DatabaseId("db0");
     request.Marks = marks;
     request.Deadline = Now + milliseconds(1000);
-    request.Asked = ReadCall{{"SELECT 1", {}}, milliseconds(5000)};
+    request.Operation = ReadCall{{"SELECT 1", {}}, milliseconds(5000)};
     tell(RequestArrived{std::move(request)});
   }
 
@@ -114,10 +114,10 @@
 
   upstream::BatchResult answerTo(const RunBatch &run) {
     upstream::BatchResult out{
-        run.Work.Id, {}, upstream::TransactionState::Idle};
-    Questions += run.Work.Steps.size() == 1 ? 1 : 0;
+        run.Batch.Id, {}, upstream::TransactionState::Idle};
+    Questions += run.Batch.Steps.size() == 1 ? 1 : 0;
     const bool isPrimary = Names[run.Connection].str().ends_with("-0");
-    for (std::size_t n = 0; n < run.Work.Steps.size(); ++n) {
+    for (std::size_t n = 0; n < run.Batch.Steps.size(); ++n) {
       upstream::StepResult step;
       step.Outcome = upstream::StepOutcome::Ok;
       step.Columns = {"role",    "term",    "log_term", "durable",
@@ -192,7 +192,7 @@
   answer.mutable_silence_answer()->set_term(4097);
   answer.mutable_silence_answer()->set_is_silent(true);
   CallerRequest request;
-  request.Asked = StatementCall{
+  request.Operation = StatementCall{
       TransactionId("entry-1.bookings.1.00112233445566ff"),
       1,
       {"UPDATE booking SET who = $1 WHERE slot = $2", {"ann", "mon-9"}}};
--- a/src/daemon/internal/RequestService.cpp
+++ b/src/daemon/internal/RequestService.cpp
@@ -26,7 +26,7 @@
 constexpr Duration ExplainLimit = milliseconds(1000);
 
 VmId ownerOf(const request::CallerRequest &request) {
-  return request::ownerOf(request::transactionOf(request.Asked));
+  return request::ownerOf(request::transactionOf(request.Operation));
 }
 
 TraceBook::WallTime wallNow() { return std::chrono::system_clock::now(); }
@@ -83,7 +83,7 @@
       Self.Upstreams.close(it.Connection);
     }
     void operator()(const request::RunBatch &it) const {
-      Self.Traces.beginBatch(it.Work.Id, it.For, wallNow());
+      Self.Traces.beginBatch(it.Batch.Id, it.Request, wallNow());
       Self.Upstreams.run(it);
     }
     void operator()(const request::SendAnswer &it) const {
@@ -120,7 +120,7 @@
 RequestService::keep(const request::CallerRequest &request, Done done,
                      const std::optional<observe::TraceContext> &trace) {
   const RequestId id{++NextRequest};
-  const auto kind = request::kindOf(request.Asked);
+  const auto kind = request::kindOf(request.Operation);
   Waiting[id] = {std::move(done), monotonicNow(), request.Database.str(), kind};
   Traces.beginRequest(id, trace, kind, wallNow());
   return id;
@@ -155,7 +155,7 @@
                      {"decision", answer.Decision.str()}},
                     wallNow());
   Seen.Metrics.noteAnswer({pending.Database, pending.Kind, answer.Code,
-                           answer.FromReplica,
+                           answer.IsFromReplica,
                            monotonicNow() - pending.ArrivedAt});
   pending.Answer({answer, trace.value_or(observe::TraceContext{})});
 }
--- a/src/daemon/internal/UpstreamSet.cpp
+++ b/src/daemon/internal/UpstreamSet.cpp
@@ -81,7 +81,7 @@
 void UpstreamSet::run(const request::RunBatch &wanted) {
   const auto it = Connections.find(wanted.Connection);
   if (it != Connections.end())
-    it->second->run(wanted.Work);
+    it->second->run(wanted.Batch);
 }
 
 } // namespace stepledge::daemon
--- a/src/distribution/ConfigurationFetch.cpp
+++ b/src/distribution/ConfigurationFetch.cpp
@@ -76,7 +76,7 @@
   doubleTimeout();
 }
 
-void ConfigurationFetch::lost(const std::string &ip) {
+void ConfigurationFetch::connectionLost(const std::string &ip) {
   if (ip == Ip)
     finish();
 }
--- a/src/distribution/ConfigurationFetch.h
+++ b/src/distribution/ConfigurationFetch.h
@@ -52,7 +52,7 @@
   PartResult take(const std::string &ip,
                   const peer::wire::ConfigurationPart &part);
   /// The delta of the last take() that returned Complete.
-  const ConfigurationDelta &change() const { return Delta; }
+  const ConfigurationDelta &delta() const { return Delta; }
   /// The delta was applied.
   void accept() { Timeout = InitialTimeout; }
   /// The delta could not be applied: the next fetch waits for Timeout, and
@@ -61,7 +61,7 @@
   /// versions each 250 ms.
   void reject(TimePoint now);
   /// The connection to \p ip was lost, which ends a fetch from there.
-  void lost(const std::string &ip);
+  void connectionLost(const std::string &ip);
 
 private:
   void ask();
--- a/src/distribution/tests/ConfigurationTransferTest.cpp
+++ b/src/distribution/tests/ConfigurationTransferTest.cpp
@@ -71,8 +71,8 @@
   }
   CHECK(parts >= 5);
   CHECK(it.Out.Sent.empty());
-  CHECK(it.Fetch.change().To == 4);
-  CHECK(it.Fetch.change().Routes.size() == 2000);
+  CHECK(it.Fetch.delta().To == 4);
+  CHECK(it.Fetch.delta().Routes.size() == 2000);
 }
 
 TEST_CASE("ConfigurationTransfer_PartInFlightIsNotRequestedAgain") {
@@ -131,7 +131,7 @@
     if (!it.Fetch.start(it.Now, i % 2 == 0 ? SenderIp : OtherIp, 0))
       continue;
     ++fetches;
-    it.Fetch.lost(it.Out.Sent.back().first);
+    it.Fetch.connectionLost(it.Out.Sent.back().first);
     it.Fetch.reject(it.Now);
   }
   // At most four fetches in ten seconds, with pauses of 1, 2, 4 and 8 s.
@@ -144,9 +144,9 @@
 TEST_CASE("ConfigurationTransfer_LostConnectionEndsTheFetch") {
   Fixture it;
   it.Fetch.start(it.Now, SenderIp, 0);
-  it.Fetch.lost(OtherIp);
+  it.Fetch.connectionLost(OtherIp);
   CHECK(!it.Fetch.start(it.Now, OtherIp, 0));
-  it.Fetch.lost(SenderIp);
+  it.Fetch.connectionLost(SenderIp);
   CHECK(it.Fetch.start(it.Now, OtherIp, 0));
 }
 
@@ -157,11 +157,11 @@
   it.Sender.take(routes(6, 2001));
   while (it.exchange() == PartResult::Taken)
     ;
-  CHECK(it.Fetch.change().To == 4);
+  CHECK(it.Fetch.delta().To == 4);
   it.Fetch.start(it.Now, SenderIp, 4);
   CHECK(it.exchange() == PartResult::Complete);
-  CHECK(it.Fetch.change().From == 4);
-  CHECK(it.Fetch.change().To == 6);
+  CHECK(it.Fetch.delta().From == 4);
+  CHECK(it.Fetch.delta().To == 6);
 }
 
 TEST_CASE("ConfigurationTransfer_NothingIsSentForTheNewestVersion") {
--- a/src/entry/EntryNode.cpp
+++ b/src/entry/EntryNode.cpp
@@ -118,7 +118,7 @@
   Contact.lost(ip);
   Sources.lost(ip);
   Entries.lost(ip);
-  Fetch.lost(ip);
+  Fetch.connectionLost(ip);
   if (ip == AnnouncerIp)
     AnnouncerIp.clear();
   Log.decision(absl::StrCat("event=control_lost ip=", ip, " reason=",
@@ -220,7 +220,7 @@
 }
 
 bool EntryNode::takeChange() {
-  const auto &change = Fetch.change();
+  const auto &change = Fetch.delta();
   if (change.To <= Proxy.configurationVersion())
     return true;
   auto configuration = Proxy.configuration();
--- a/src/failover/ReplacementDriver.cpp
+++ b/src/failover/ReplacementDriver.cpp
@@ -29,14 +29,14 @@
 
 bool ReplacementDriver::isReachable(const InstanceState &state,
                                     TimePoint now) const {
-  return state.Seen && now - state.HeardAt <= Config.Silence;
+  return state.Seen && now - state.AnsweredAt <= Config.Silence;
 }
 
 int ReplacementDriver::reachableCount(const GroupView &view,
                                       TimePoint now) const {
   return static_cast<int>(
       std::count_if(view.all().begin(), view.all().end(), [&](const auto &it) {
-        return now - it.second.HeardAt <= Config.Suspect && it.second.Seen;
+        return now - it.second.AnsweredAt <= Config.Suspect && it.second.Seen;
       }));
 }
 
@@ -44,7 +44,7 @@
 ReplacementDriver::answeringPrimary(const GroupView &view,
                                     TimePoint now) const {
   auto primary = view.primary();
-  if (!primary || now - view.of(*primary).HeardAt > Config.Suspect)
+  if (!primary || now - view.of(*primary).AnsweredAt > Config.Suspect)
     return std::nullopt;
   return primary;
 }
@@ -101,7 +101,7 @@
     return;
   if (Stage == ReplacementStage::Watching) {
     const auto primary = view.primary();
-    const auto since = primary ? view.of(*primary).HeardAt : PausedUntil;
+    const auto since = primary ? view.of(*primary).AnsweredAt : PausedUntil;
     if (now - since < Config.Suspect + Config.Rank * Config.Stagger)
       return;
     Stage = ReplacementStage::Asking;
@@ -124,7 +124,8 @@
   out.push_back(AskPeers{SuspectedTerm});
 }
 
-void ReplacementDriver::peerSaid(const VmId &peer, Term term, bool isSilent) {
+void ReplacementDriver::receivePeerReport(const VmId &peer, Term term,
+                                          bool isSilent) {
   if (Stage != ReplacementStage::Asking || term != SuspectedTerm)
     return;
   (isSilent ? AgreeingPeers : DisagreeingPeers).insert(peer);
--- a/src/failover/ReplacementDriver.h
+++ b/src/failover/ReplacementDriver.h
@@ -55,7 +55,7 @@
 
   /// Records whether a VM in another hall receives no answers from the primary
   /// of \p term.
-  void peerSaid(const VmId &peer, Term term, bool isSilent);
+  void receivePeerReport(const VmId &peer, Term term, bool isSilent);
 
   /// Whether no primary has answered within the suspect time.
   bool isSilent(const routing::GroupView &view, TimePoint now) const;
--- a/src/failover/tests/ReplacementDriverTest.cpp
+++ b/src/failover/tests/ReplacementDriverTest.cpp
@@ -56,7 +56,7 @@
   void suspectPrimary() {
     observeReplicas(400);
     tick(400);
-    Driver.peerSaid(Peer, Term{1}, true);
+    Driver.receivePeerReport(Peer, Term{1}, true);
   }
 };
 
@@ -86,7 +86,7 @@
   fixture.observeReplicas(400);
   CHECK(fixture.tick(400) == Orders{AskPeers{Term{1}}});
   CHECK(fixture.tick(410).empty());
-  fixture.Driver.peerSaid(Peer, Term{1}, true);
+  fixture.Driver.receivePeerReport(Peer, Term{1}, true);
   fixture.tick(420);
   CHECK(fixture.Driver.stage() == ReplacementStage::Fencing);
 }
@@ -95,8 +95,8 @@
   Fixture fixture;
   fixture.observeReplicas(400);
   fixture.tick(400);
-  fixture.Driver.peerSaid(Peer, Term{1}, true);
-  fixture.Driver.peerSaid(VmId("other"), Term{1}, false);
+  fixture.Driver.receivePeerReport(Peer, Term{1}, true);
+  fixture.Driver.receivePeerReport(VmId("other"), Term{1}, false);
   CHECK(fixture.tick(420).empty());
   CHECK(fixture.Driver.stage() == ReplacementStage::Asking);
 }
@@ -142,7 +142,7 @@
                   {{Term{1}, {0}}, {Term{3}, {20}}});
   fixture.observe(Three, InstanceRole::Replica, 3, 99, 400);
   fixture.tick(400);
-  fixture.Driver.peerSaid(Peer, Term{3}, true);
+  fixture.Driver.receivePeerReport(Peer, Term{3}, true);
   fixture.tick(401);
   fixture.observe(Three, InstanceRole::Fenced, 7, 99, 410);
   fixture.observe(Two, InstanceRole::Fenced, 7, 30, 410,
@@ -165,7 +165,7 @@
   fixture.observe(Two, InstanceRole::Fenced, 9, 50, 400);
   fixture.observe(Three, InstanceRole::Fenced, 9, 49, 400);
   fixture.tick(400);
-  fixture.Driver.peerSaid(Peer, Term{1}, true);
+  fixture.Driver.receivePeerReport(Peer, Term{1}, true);
   fixture.tick(401);
   const auto orders = fixture.tick(402);
   REQUIRE_FALSE(orders.empty());
--- a/src/mesh/ForwardCodec.cpp
+++ b/src/mesh/ForwardCodec.cpp
@@ -47,8 +47,8 @@
     Out.set_transaction(it.Transaction.str());
     Out.set_action(wire::STATEMENT);
     Out.set_sequence(it.Sequence);
-    Out.set_sql(it.Change.Sql);
-    for (const auto &parameter : it.Change.Parameters)
+    Out.set_sql(it.Command.Sql);
+    for (const auto &parameter : it.Command.Parameters)
       write(parameter, *Out.add_parameters());
     return true;
   }
@@ -85,7 +85,7 @@
 std::optional<wire::ForwardCall>
 toForwardCall(const request::CallerRequest &request, TimePoint now) {
   wire::ForwardCall out;
-  if (!std::visit(CallWriter{out}, request.Asked))
+  if (!std::visit(CallWriter{out}, request.Operation))
     return std::nullopt;
   write(request.Marks, *out.mutable_marks());
   const auto left = std::max(Duration{0}, request.Deadline - now);
@@ -96,7 +96,7 @@
 request::CallerRequest fromForwardCall(const wire::ForwardCall &call,
                                        TimePoint now) {
   request::CallerRequest out;
-  out.Asked = readCall(call);
+  out.Operation = readCall(call);
   out.Database = request::databaseOf(TransactionId(call.transaction()));
   out.Marks = read(call.marks());
   out.Deadline =
--- a/src/mesh/tests/MeshTest.cpp
+++ b/src/mesh/tests/MeshTest.cpp
@@ -25,25 +25,25 @@
   sent.Database = DatabaseId("bookings");
   sent.Marks.add(sent.Database, {Term{2}, LogPosition{7}});
   sent.Deadline = at(500);
-  sent.Asked = request::StatementCall{
+  sent.Operation = request::StatementCall{
       TransactionId("entry-a1.bookings.3.00ff"),
       4,
       {"UPDATE t SET a = $1, b = $2", {"x", std::nullopt}}};
   const auto call = toForwardCall(sent, at(100));
   REQUIRE(call.has_value());
   const auto got = fromForwardCall(*call, at(7000));
-  const auto &statement = std::get<request::StatementCall>(got.Asked);
+  const auto &statement = std::get<request::StatementCall>(got.Operation);
   CHECK(got.Database == sent.Database);
   CHECK(got.Marks == sent.Marks);
   CHECK(got.Deadline == at(7400));
   CHECK(statement.Sequence == 4);
-  CHECK(statement.Change.Parameters ==
+  CHECK(statement.Command.Parameters ==
         std::vector<upstream::Value>{"x", std::nullopt});
 }
 
 TEST_CASE("ForwardCodec_OnlyCallsWithinTransactions") {
   request::CallerRequest read;
-  read.Asked = request::ReadCall{};
+  read.Operation = request::ReadCall{};
   CHECK_FALSE(toForwardCall(read, at(0)).has_value());
 }
 
--- a/src/request/internal/DatabaseContext.cpp
+++ b/src/request/internal/DatabaseContext.cpp
@@ -198,7 +198,7 @@
 
 std::optional<InstanceId> DatabaseContext::livePrimary(TimePoint now) const {
   auto primary = View.primary();
-  if (!primary || now - View.of(*primary).HeardAt > Common.Timing.Silence)
+  if (!primary || now - View.of(*primary).AnsweredAt > Common.Timing.Silence)
     return std::nullopt;
   return primary;
 }
--- a/src/request/internal/DatabaseCoordinator.cpp
+++ b/src/request/internal/DatabaseCoordinator.cpp
@@ -18,9 +18,9 @@
 /// The statement of a call, if it has one.
 struct StatementOf {
   const Statement *operator()(const ReadCall &it) const { return &it.Query; }
-  const Statement *operator()(const WriteCall &it) const { return &it.Change; }
+  const Statement *operator()(const WriteCall &it) const { return &it.Command; }
   const Statement *operator()(const StatementCall &it) const {
-    return &it.Change;
+    return &it.Command;
   }
   template <typename Other> const Statement *operator()(const Other &) const {
     return nullptr;
@@ -30,9 +30,9 @@
 bool isInTransaction(const Call &call) { return !transactionOf(call).empty(); }
 
 WorkClass classOf(const CallerRequest &request, Duration defaultMaxAge) {
-  if (isInTransaction(request.Asked))
+  if (isInTransaction(request.Operation))
     return WorkClass::Transaction;
-  const auto *read = std::get_if<ReadCall>(&request.Asked);
+  const auto *read = std::get_if<ReadCall>(&request.Operation);
   if (read == nullptr)
     return WorkClass::Write;
   const bool isCurrent = read->MaxAge.value_or(defaultMaxAge).count() == 0;
@@ -64,7 +64,7 @@
   request.Record.Id = DecisionId(
       absl::StrCat(Context.Common.Vm.str(), "-", ++Context.Counters.Decisions));
   request.Record.Database = Context.Database.Id;
-  request.Record.Kind = kindOf(asked.Asked);
+  request.Record.Kind = kindOf(asked.Operation);
   if (!accept(request, now))
     return;
   const auto admission =
@@ -72,7 +72,7 @@
   if (admission.Code == ResultCode::Done)
     return Context.note(request, {NoteKind::Admitted, {}, {}, ""}, now);
   Context.note(request, {NoteKind::Refused, {}, {}, ""}, now);
-  if (isInTransaction(asked.Asked))
+  if (isInTransaction(asked.Operation))
     return Transactions.expire(request, now);
   CallerAnswer refusal;
   refusal.Code = admission.Code;
@@ -82,7 +82,7 @@
 
 bool DatabaseCoordinator::accept(ActiveRequest &request, TimePoint now) {
   const auto id = request.Request.Id;
-  const auto &call = request.Request.Asked;
+  const auto &call = request.Request.Operation;
   if (Context.IsStopping && !isInTransaction(call)) {
     Context.refuse(id, ResultCode::Stopping, "", now);
     return false;
@@ -104,7 +104,7 @@
 }
 
 bool DatabaseCoordinator::start(ActiveRequest &request, TimePoint now) {
-  const auto &call = request.Request.Asked;
+  const auto &call = request.Request.Operation;
   if (std::holds_alternative<ReadCall>(call))
     return Reads.start(request, now);
   if (std::holds_alternative<WriteCall>(call))
@@ -120,7 +120,7 @@
     if (request == nullptr || request->NotBefore > now)
       continue;
     const bool isRollback =
-        std::holds_alternative<RollbackCall>(request->Request.Asked);
+        std::holds_alternative<RollbackCall>(request->Request.Operation);
     if (!isRollback && !Context.hasCapacity())
       continue;
     if (start(*request, now))
@@ -250,7 +250,7 @@
     auto *request = Context.find(it.Id);
     if (request == nullptr)
       continue;
-    if (isInTransaction(request->Request.Asked)) {
+    if (isInTransaction(request->Request.Operation)) {
       Transactions.expire(*request, now);
       continue;
     }
@@ -267,7 +267,7 @@
   std::sort(due.begin(), due.end());
   for (const auto id : due) {
     auto &request = *Context.find(id);
-    const auto &call = request.Request.Asked;
+    const auto &call = request.Request.Operation;
     if (request.CurrentPhase == Phase::AwaitingMajority ||
         std::holds_alternative<WriteCall>(call))
       Writes.expire(request, now);
@@ -282,7 +282,7 @@
   for (const auto &it : Context.Database.Instances) {
     const auto &state = Context.View.of(it.Id);
     const bool isLive =
-        state.Seen && now - state.HeardAt <= Context.Common.Timing.Silence;
+        state.Seen && now - state.AnsweredAt <= Context.Common.Timing.Silence;
     if (!isLive)
       continue;
     const auto all = Context.Pool.connectionsTo(it.Id);
@@ -302,12 +302,12 @@
 }
 
 // Whether answers wait for a majority, or a primary is being replaced.
-bool DatabaseCoordinator::needsFastPolling() const {
-  return Writes.isAwaitingMajority() || Replacing.needsFastPolling();
+bool DatabaseCoordinator::needsFrequentPolling() const {
+  return Writes.isAwaitingMajority() || Replacing.needsFrequentPolling();
 }
 
 void DatabaseCoordinator::advance(TimePoint now) {
-  for (const auto &it : Observing.tick(needsFastPolling(), now))
+  for (const auto &it : Observing.tick(needsFrequentPolling(), now))
     disconnectInstance(it, now);
   Replacing.tick(now);
   abortOnReplacedPrimary(now);
@@ -320,7 +320,7 @@
 }
 
 std::optional<TimePoint> DatabaseCoordinator::nextWake(TimePoint now) const {
-  auto next = Observing.nextWake(needsFastPolling(), now);
+  auto next = Observing.nextWake(needsFrequentPolling(), now);
   if (const auto limit = Transactions.nextExpiry())
     next = std::min(next, *limit);
   for (const auto &[id, it] : Context.Requests) {
@@ -341,7 +341,7 @@
   const auto &all = Context.View.all();
   return std::any_of(all.begin(), all.end(), [&](const auto &it) {
     return it.second.Seen &&
-           now - it.second.HeardAt <= Context.Common.Timing.Silence;
+           now - it.second.AnsweredAt <= Context.Common.Timing.Silence;
   });
 }
 
--- a/src/request/internal/DatabaseCoordinator.h
+++ b/src/request/internal/DatabaseCoordinator.h
@@ -34,8 +34,8 @@
     Context.View.setLeaving(instance, leaving, now);
   }
 
-  void receivePeerReport(const PeerReport &opinion) {
-    Replacing.receivePeerReport(opinion);
+  void receivePeerReport(const PeerReport &report) {
+    Replacing.receivePeerReport(report);
   }
   bool isPrimarySilent(TimePoint now) const { return Replacing.isSilent(now); }
 
@@ -47,7 +47,7 @@
   bool isServing(TimePoint now) const;
 
 private:
-  bool needsFastPolling() const;
+  bool needsFrequentPolling() const;
   bool accept(ActiveRequest &request, TimePoint now);
   bool start(ActiveRequest &request, TimePoint now);
   void dispatchQueue(TimePoint now);
--- a/src/request/internal/ReadFlow.cpp
+++ b/src/request/internal/ReadFlow.cpp
@@ -39,7 +39,7 @@
 } // namespace
 
 routing::ReadNeed ReadFlow::needOf(const ActiveRequest &request) const {
-  const auto &call = std::get<ReadCall>(request.Request.Asked);
+  const auto &call = std::get<ReadCall>(request.Request.Operation);
   return {request.Request.Marks.of(Context.Database.Id),
           call.MaxAge.value_or(Context.Database.ReadMaxAge),
           request.Request.Deadline, request.TriedInstances};
@@ -89,7 +89,7 @@
 void ReadFlow::sendTo(ActiveRequest &request, const InstanceId &instance,
                       TimePoint now) {
   const auto connection = Context.connectionFor(instance);
-  const auto &query = std::get<ReadCall>(request.Request.Asked).Query;
+  const auto &query = std::get<ReadCall>(request.Request.Operation).Query;
   request.CurrentPhase = Phase::Reading;
   request.Connection = *connection;
   Context.send(*connection, ReadWork{request.Request.Id},
@@ -158,7 +158,7 @@
   if (!Context.fitsLimits(answer.Result))
     return Context.refuse(id, ResultCode::ResultTooLarge, "", now);
   answer.AnsweredBy = instance;
-  answer.FromReplica = seen.Role != routing::InstanceRole::Primary;
+  answer.IsFromReplica = seen.Role != routing::InstanceRole::Primary;
   answer.Age = ageOf(seen, now);
   answer.Marks = request.Request.Marks;
   answer.Marks.replace(Context.Database.Id, seen.appliedMark());
--- a/src/request/internal/ReplacementFlow.cpp
+++ b/src/request/internal/ReplacementFlow.cpp
@@ -52,8 +52,8 @@
     std::visit([this, now](const auto &order) { sendOrder(order, now); }, it);
 }
 
-void ReplacementFlow::receivePeerReport(const PeerReport &opinion) {
-  Driver.peerSaid(opinion.Peer, opinion.Current, opinion.IsSilent);
+void ReplacementFlow::receivePeerReport(const PeerReport &report) {
+  Driver.receivePeerReport(report.Peer, report.Current, report.IsSilent);
 }
 
 void ReplacementFlow::sendOrder(const failover::FenceInstance &order,
--- a/src/request/internal/ReplacementFlow.h
+++ b/src/request/internal/ReplacementFlow.h
@@ -18,11 +18,11 @@
   ReplacementFlow(DatabaseContext &context, ObserveFlow &observing);
 
   void tick(TimePoint now);
-  void receivePeerReport(const PeerReport &opinion);
+  void receivePeerReport(const PeerReport &report);
   bool isSilent(TimePoint now) const {
     return Driver.isSilent(Context.View, now);
   }
-  bool needsFastPolling() const { return Driver.needsFrequentPolling(); }
+  bool needsFrequentPolling() const { return Driver.needsFrequentPolling(); }
 
 private:
   void sendOrder(const failover::FenceInstance &order, TimePoint now);
--- a/src/request/internal/RequestCoordinator.cpp
+++ b/src/request/internal/RequestCoordinator.cpp
@@ -29,9 +29,9 @@
   CallerAnswer answer;
   answer.Id = request.Id;
   // NOTE: A transaction id with an unknown database is an unknown transaction.
-  const bool isName = std::holds_alternative<ReadCall>(request.Asked) ||
-                      std::holds_alternative<WriteCall>(request.Asked) ||
-                      std::holds_alternative<BeginCall>(request.Asked);
+  const bool isName = std::holds_alternative<ReadCall>(request.Operation) ||
+                      std::holds_alternative<WriteCall>(request.Operation) ||
+                      std::holds_alternative<BeginCall>(request.Operation);
   answer.Code =
       isName ? ResultCode::DatabaseUnknown : ResultCode::TransactionUnknown;
   answer.Marks = request.Marks;
@@ -107,7 +107,7 @@
       const auto found = Self.Databases.find(it.Database);
       if (found == Self.Databases.end())
         return;
-      found->second->setLeaving(it.Instance, it.Leaving, Now);
+      found->second->setLeaving(it.Instance, it.IsLeaving, Now);
       Self.collectEffects(*found->second, Now, Out);
     }
     void operator()(const PeerReport &it) const {
--- a/src/request/internal/TransactionFlow.cpp
+++ b/src/request/internal/TransactionFlow.cpp
@@ -35,7 +35,7 @@
 }
 
 bool TransactionFlow::accept(ActiveRequest &request, TimePoint now) {
-  const auto &call = request.Request.Asked;
+  const auto &call = request.Request.Operation;
   if (std::holds_alternative<BeginCall>(call)) {
     if (Table.size() < Context.Common.Limits.Transactions)
       return true;
@@ -75,7 +75,7 @@
 }
 
 bool TransactionFlow::start(ActiveRequest &request, TimePoint now) {
-  const auto &call = request.Request.Asked;
+  const auto &call = request.Request.Operation;
   if (std::holds_alternative<BeginCall>(call))
     return startBegin(request, now);
   const auto [number, transaction] = Table.find(transactionOf(call));
--- a/src/request/internal/WriteAcknowledgement.cpp
+++ b/src/request/internal/WriteAcknowledgement.cpp
@@ -65,7 +65,7 @@
   const auto id = request.Request.Id;
   Context.note(request, {NoteKind::Discarded, {}, request.AwaitedMark, ""},
                now);
-  const auto *write = std::get_if<WriteCall>(&request.Request.Asked);
+  const auto *write = std::get_if<WriteCall>(&request.Request.Operation);
   if (write != nullptr && !write->Key.empty())
     return handleUnknownOutcome(request, now);
   const bool isLost =
--- a/src/request/internal/WriteFlow.cpp
+++ b/src/request/internal/WriteFlow.cpp
@@ -72,7 +72,7 @@
 } // namespace
 
 const WriteCall &WriteFlow::callOf(const ActiveRequest &request) const {
-  return std::get<WriteCall>(request.Request.Asked);
+  return std::get<WriteCall>(request.Request.Operation);
 }
 
 Mark firstMarkAfter(const routing::Observation &seen) {
@@ -86,7 +86,7 @@
   const auto id = request.Request.Id;
   const bool runs = std::any_of(
       Context.Requests.begin(), Context.Requests.end(), [&](const auto &it) {
-        const auto *call = std::get_if<WriteCall>(&it.second.Request.Asked);
+        const auto *call = std::get_if<WriteCall>(&it.second.Request.Operation);
         return it.first != id && call != nullptr && call->Key == key;
       });
   if (runs)
@@ -102,7 +102,7 @@
   const auto leaving = Context.View.leavingFor(primary, now);
   if (!leaving || request.CurrentPhase == Phase::AwaitingProbe)
     return true;
-  return !std::holds_alternative<BeginCall>(request.Request.Asked) &&
+  return !std::holds_alternative<BeginCall>(request.Request.Operation) &&
          *leaving < Context.Common.Failover.LeaveGrace;
 }
 
@@ -162,13 +162,13 @@
 
 void WriteFlow::sendPlain(ActiveRequest &request, ConnectionId connection,
                           TimePoint now) {
-  const auto &change = callOf(request).Change;
+  const auto &command = callOf(request).Command;
   const auto &observe = Context.Common.Dialect.Observe;
   request.CurrentPhase = Phase::Writing;
   Context.send(connection, WriteWork{request.Request.Id, 0},
                {{"BEGIN", {}, false},
                 {observe, {}, false},
-                {change.Sql, change.Parameters, false},
+                {command.Sql, command.Parameters, false},
                 {"COMMIT", {}, true},
                 {observe, {}, true}},
                now);
@@ -185,8 +185,8 @@
   steps.push_back({"BEGIN", {}, false});
   steps.push_back({dialect.Observe, {}, false});
   steps.push_back(
-      {dialect.LedgerInsert, {call.Key, digestOf(call.Change)}, false});
-  steps.push_back({call.Change.Sql, call.Change.Parameters, true});
+      {dialect.LedgerInsert, {call.Key, digestOf(call.Command)}, false});
+  steps.push_back({call.Command.Sql, call.Command.Parameters, true});
   request.CurrentPhase = Phase::Inserting;
   Context.send(connection, WriteWork{request.Request.Id, offset},
                std::move(steps), now);
@@ -217,7 +217,7 @@
       connection, WriteWork{request.Request.Id, 0},
       {{"BEGIN", {}, false},
        {dialect.Observe, {}, false},
-       {dialect.LedgerInsert, {call.Key, digestOf(call.Change)}, true}},
+       {dialect.LedgerInsert, {call.Key, digestOf(call.Command)}, true}},
       now);
 }
 
@@ -392,7 +392,7 @@
     return Context.retryOrRefuse(request, ResultCode::KeyStillRunning, now);
   }
   const auto &row = read.Rows.front();
-  const auto digest = digestOf(callOf(request).Change);
+  const auto digest = digestOf(callOf(request).Command);
   if (row.size() != 2 || row[0].value_or("") != digest)
     return Context.refuse(request.Request.Id, ResultCode::KeyReused, "", now);
   const auto recorded = readLedgerText(row[1].value_or(""));
@@ -401,7 +401,7 @@
     answer.Result = *recorded;
   else
     answer.Code = ResultCode::ResultLeftOut;
-  answer.Replayed = request.CurrentPhase == Phase::Replaying;
+  answer.IsReplayed = request.CurrentPhase == Phase::Replaying;
   answer.AnsweredBy = running.Instance;
   awaitMajority(request, after->appliedMark(), std::move(answer), now);
 }
--- a/src/request/tests/DifferentialTest.cpp
+++ b/src/request/tests/DifferentialTest.cpp
@@ -90,7 +90,7 @@
   bool isSilent() const {
     return Coordinator->isPrimarySilent(Database, Group.now());
   }
-  void receive(const PeerReport &opinion) { sendEvent(opinion); }
+  void receive(const PeerReport &report) { sendEvent(report); }
 
   void submit(CallerRequest request, AnswerHandler onAnswer) {
     request.Id = RequestId{++Requests};
@@ -136,7 +136,7 @@
   void apply(const RunBatch &it) {
     const auto id = it.Connection;
     Group.run(
-        Base + id.Number, Instances.at(id), it.Work,
+        Base + id.Number, Instances.at(id), it.Batch,
         [this, id](const upstream::BatchResult &result) {
           sendEvent(BatchFinished{id, result});
         },
@@ -269,11 +269,11 @@
         continue;
       Group.after(Group.upTo(3000), [this, asker, n, question] {
         const bool isSilent = All[static_cast<std::size_t>(n)]->isSilent();
-        const PeerReport opinion{question.Database,
-                                 VmId("vm" + std::to_string(n)),
-                                 question.Current, isSilent};
-        Group.after(Group.upTo(3000), [this, asker, opinion] {
-          All[static_cast<std::size_t>(asker)]->receive(opinion);
+        const PeerReport report{question.Database,
+                                VmId("vm" + std::to_string(n)),
+                                question.Current, isSilent};
+        Group.after(Group.upTo(3000), [this, asker, report] {
+          All[static_cast<std::size_t>(asker)]->receive(report);
         });
       });
     }
@@ -297,7 +297,7 @@
     const auto value = it.Next++;
     const auto key =
         Random() % 2 == 0 ? it.Name + "-" + std::to_string(value) : "";
-    request.Asked =
+    request.Operation =
         WriteCall{{"PUT " + it.Name + " " + std::to_string(value), {}}, key};
     anyProxy().submit(std::move(request),
                       [this, &it, value](const CallerAnswer &answer) {
@@ -322,7 +322,7 @@
     const auto &other = Callers[Random() % Callers.size()].Name;
     const auto maxAge = milliseconds(Random() % 3 == 0 ? 0 : 300);
     const auto name = Random() % 2 == 0 ? it.Name : other;
-    request.Asked = ReadCall{{"GET " + name, {}}, maxAge};
+    request.Operation = ReadCall{{"GET " + name, {}}, maxAge};
     const auto floor = name == it.Name ? it.Acknowledged : 0;
     anyProxy().submit(std::move(request), [this, &it, name, floor,
                                            maxAge](const CallerAnswer &answer) {
--- a/src/request/tests/SessionScript.cpp
+++ b/src/request/tests/SessionScript.cpp
@@ -184,21 +184,21 @@
 void SessionScript::show(const RunBatch &run) {
   const auto &instance = Connections.at(run.Connection);
   const auto name = absl::StrCat("b", Batches.size() + 1);
-  if (isPoll(run.Work)) {
+  if (isPoll(run.Batch)) {
     if (SilentInstances.contains(instance))
       return;
-    upstream::BatchResult result{run.Work.Id, {}, {}};
+    upstream::BatchResult result{run.Batch.Id, {}, {}};
     result.Steps.push_back(stepAnswer(Config.Dialect.Observe, instance, ""));
     result.After = upstream::TransactionState::Idle;
     QueuedEvents.push_back(BatchFinished{run.Connection, result});
     return;
   }
   std::vector<std::string> steps;
-  for (const auto &it : run.Work.Steps)
+  for (const auto &it : run.Batch.Steps)
     steps.push_back(it.Sql == Config.Dialect.Observe ? "(observe)" : it.Sql);
   out(absl::StrCat("> ", name, " to ", instance.str(), ": ",
                    absl::StrJoin(steps, " | ")));
-  Batches[name] = {run.Connection, run.Work, {}};
+  Batches[name] = {run.Connection, run.Batch, {}};
 }
 
 void SessionScript::show(const SendAnswer &sent) {
@@ -211,7 +211,7 @@
     absl::StrAppend(&text, ", by ", answer.AnsweredBy.str());
   for (const auto &it : answer.Result.Rows)
     absl::StrAppend(&text, ", row ", it[0].value_or("NULL"));
-  if (answer.Replayed)
+  if (answer.IsReplayed)
     absl::StrAppend(&text, ", recorded earlier");
   if (answer.Age)
     absl::StrAppendFormat(&text, ", age %.0f ms", toMilliseconds(*answer.Age));
@@ -257,7 +257,7 @@
   Names[request.Id] = words[1];
   request.Database = Database;
   request.Deadline = Now + milliseconds(1000);
-  request.Asked = callOf(words);
+  request.Operation = callOf(words);
   if (words[0] == "read" || words[0] == "write")
     for (const auto &it : marksOf(valueOf(words[3])))
       request.Marks.add(Database, it);
@@ -298,7 +298,7 @@
     return out("> there is no " + words[1]);
   auto &sent = found->second;
   const auto &instance = Connections.at(sent.Connection);
-  for (const auto &it : sent.Work.Steps)
+  for (const auto &it : sent.Batch.Steps)
     if (it.Sql == Config.Dialect.LedgerInsert)
       LastDigest = it.Parameters[1].value_or("");
   const bool fails = words[2] == "fail";
@@ -306,9 +306,9 @@
   const std::string value = !fails && words.size() > 3 ? words[3] : "";
   auto state = upstream::TransactionState::Idle;
   bool isSkipping = false;
-  upstream::BatchResult result{sent.Work.Id, {}, {}};
-  for (std::size_t n = 0; n < sent.Work.Steps.size(); ++n) {
-    const auto &step = sent.Work.Steps[n];
+  upstream::BatchResult result{sent.Batch.Id, {}, {}};
+  for (std::size_t n = 0; n < sent.Batch.Steps.size(); ++n) {
+    const auto &step = sent.Batch.Steps[n];
     upstream::StepResult answer;
     if (fails && n + 1 == failing) {
       answer.Outcome = upstream::StepOutcome::Failed;
@@ -328,8 +328,8 @@
       isSkipping = false;
     result.Steps.push_back(std::move(answer));
   }
-  const bool isPinned = sent.Work.Steps[0].Sql != "ROLLBACK" &&
-                        sent.Work.Steps.size() == 1 && !fails;
+  const bool isPinned = sent.Batch.Steps[0].Sql != "ROLLBACK" &&
+                        sent.Batch.Steps.size() == 1 && !fails;
   result.After = isPinned ? upstream::TransactionState::Open : state;
   sent.Answer = result;
   sendEvent(BatchFinished{sent.Connection, result});
--- a/src/request/tests/SessionScript.h
+++ b/src/request/tests/SessionScript.h
@@ -47,7 +47,7 @@
 
   struct SentBatch {
     ConnectionId Connection;
-    upstream::Batch Work;
+    upstream::Batch Batch;
     upstream::BatchResult Answer;
   };
 
--- a/src/request/types/CallerAnswer.h
+++ b/src/request/types/CallerAnswer.h
@@ -36,11 +36,11 @@
   /// The positions that the session has observed, this answer included.
   session::SessionMarks Marks;
   InstanceId AnsweredBy;
-  bool FromReplica = false;
+  bool IsFromReplica = false;
   /// For reads: an upper bound of the data's age.
   std::optional<Duration> Age;
   /// Whether this is the recorded answer of an earlier request with the key.
-  bool Replayed = false;
+  bool IsReplayed = false;
   TransactionId Transaction;
   /// For refusals: the delay before the caller may retry.
   Duration RetryAfter{0};
--- a/src/request/types/CallerRequest.h
+++ b/src/request/types/CallerRequest.h
@@ -31,7 +31,7 @@
 };
 
 struct WriteCall {
-  Statement Change;
+  Statement Command;
   /// Idempotency key; a write with an empty key is never resent.
   std::string Key;
 };
@@ -42,7 +42,7 @@
   TransactionId Transaction;
   /// Counted from 1 within the transaction.
   std::uint32_t Sequence = 0;
-  Statement Change;
+  Statement Command;
 };
 
 struct CommitCall {
@@ -63,7 +63,7 @@
   DatabaseId Database;
   session::SessionMarks Marks;
   TimePoint Deadline;
-  Call Asked;
+  Call Operation;
 };
 
 /// The short name of a call's kind, as in "read".
--- a/src/request/types/Events.h
+++ b/src/request/types/Events.h
@@ -47,7 +47,7 @@
 struct InstanceLeaving {
   DatabaseId Database;
   InstanceId Instance;
-  bool Leaving = true;
+  bool IsLeaving = true;
 };
 
 /// Another VM reports whether it gets no answers from the primary of that term.
@@ -76,8 +76,8 @@
 struct RunBatch {
   ConnectionId Connection;
   /// The request that the batch serves; 0 for the process's own queries.
-  RequestId For;
-  upstream::Batch Work;
+  RequestId Request;
+  upstream::Batch Batch;
 };
 
 struct SendAnswer {
--- a/src/routing/GroupView.cpp
+++ b/src/routing/GroupView.cpp
@@ -37,7 +37,7 @@
   state.Last = observation;
   state.Seen = true;
   state.QuerySentAt = sentAt;
-  state.HeardAt = now;
+  state.AnsweredAt = now;
   state.PromiseObservedAt = sentAt;
   noteLeaving(state, now);
   if (observation.Role == InstanceRole::Primary &&
--- a/src/routing/GroupView.h
+++ b/src/routing/GroupView.h
@@ -26,7 +26,7 @@
   /// When the query was sent that Last answers.
   TimePoint QuerySentAt;
   /// When the instance last answered a query.
-  TimePoint HeardAt;
+  TimePoint AnsweredAt;
   /// The send time of the last query that showed Last.Promised as the highest
   /// term that the instance has promised.
   TimePoint PromiseObservedAt;
--- a/src/routing/ReadRouter.cpp
+++ b/src/routing/ReadRouter.cpp
@@ -64,7 +64,7 @@
                                             const InstanceId &instance,
                                             const InstanceState &state,
                                             TimePoint now) const {
-  if (!state.Seen || now - state.HeardAt > Config.Silence)
+  if (!state.Seen || now - state.AnsweredAt > Config.Silence)
     return {Verdict::Silent, {}};
   if (need.Tried.contains(instance))
     return {Verdict::Tried, {}};
