--- a/src/base/ResultTable.h
+++ b/src/base/ResultTable.h
@@ -21,7 +21,7 @@
   ResultCode Code;
   std::string_view Name;
   ResultClass Class;
-  /// The HTTP status a caller sees with it.
+  /// The HTTP status of answers with this code.
   int HttpStatus;
   /// One plain sentence.
   std::string_view Meaning;
--- a/src/request/internal/WriteFlow.cpp
+++ b/src/request/internal/WriteFlow.cpp
@@ -292,7 +292,7 @@
   if (change.Outcome != StepOutcome::Ok)
     return handleNotRun(request, change, before, now);
   const auto &commit = result.Steps[PlainCommit];
-  // NOTE: The primary was replaced between the change and its commit. The
+  // NOTE: The primary was replaced between the write and its commit. The
   // database reports the rollback, so the successor may run the write.
   const bool isReplaced =
       after && after->Role != routing::InstanceRole::Primary;
--- a/src/request/tests/GoldenSessionTest.cpp
+++ b/src/request/tests/GoldenSessionTest.cpp
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-// Compares the effects of whole sessions with stored files. With
+// Compares the effects of complete sessions with stored files. With
 // STEPLEDGE_REWRITE=1 in the environment the files are rewritten.
 
 #include "request/tests/SessionScript.h"
--- a/src/session/types/SessionMarks.h
+++ b/src/session/types/SessionMarks.h
@@ -1,7 +1,7 @@
 // Part of stepledge, under the Apache License v2.0. See LICENSE.
 // SPDX-License-Identifier: Apache-2.0
 
-/// \file The log positions that a session has seen, by database.
+/// \file The log positions that a session has observed, by database.
 
 #ifndef STEPLEDGE_SESSION_TYPES_SESSIONMARKS_H
 #define STEPLEDGE_SESSION_TYPES_SESSIONMARKS_H
@@ -29,7 +29,7 @@
   /// include them.
   void replace(const DatabaseId &database, Mark mark);
 
-  /// The marks of \p database; empty where the session has seen nothing.
+  /// The marks of \p database; empty if the session has observed none.
   const DatabaseMarks &of(const DatabaseId &database) const;
   const std::map<DatabaseId, DatabaseMarks> &all() const { return Marks; }
   bool empty() const { return Marks.empty(); }
