--- a/src/membership/tests/HomeTableTest.cpp
+++ b/src/membership/tests/HomeTableTest.cpp
@@ -112,7 +112,7 @@
   CHECK(moved == 0);
 }
 
-TEST_CASE("HomeTable_IsNeededWhereConnectionsAreFewerThanVms") {
+TEST_CASE("HomeTable_SharingIsNeededWhereConnectionsAreFewerThanVms") {
   HomeTable table("10.1.0.1");
   table.setEntries(vms(9, 3));
   CHECK(!table.isSharingNeeded(19));
--- a/src/proxy/tests/OrganisationTest.cpp
+++ b/src/proxy/tests/OrganisationTest.cpp
@@ -132,7 +132,7 @@
   CHECK(it.Io.Rejected.contains(red));
 }
 
-TEST_CASE("Organisation_KeyThatComesBackServesAgain") {
+TEST_CASE("Organisation_RestoredKeyServesAgain") {
   OrganisationFixture it;
   const auto red = it.connectWith("current", "red-key");
   it.beginTransaction(red);
@@ -146,7 +146,7 @@
   it.sendWrite(red, "WRITE x 2");
 }
 
-TEST_CASE("Organisation_KeyThatMovesTakesNewConnections") {
+TEST_CASE("Organisation_KeyMovedToAnotherUsesItsConnections") {
   OrganisationFixture it;
   const auto client = it.connectWith("current", "red-key");
   const auto before = it.beginTransaction(client);
@@ -290,7 +290,7 @@
 
 } // namespace
 
-TEST_CASE("Organisation_GuestsAreLeftAloneRightAfterAStart") {
+TEST_CASE("Organisation_NonHomeVmsAreNotAskedRightAfterAStart") {
   // After a power loss the instances count the lost connections for 3 s more,
   // and a connection that a non-home VM opens then is missing for the homes.
   OrganisationFixture it;
