--- a/src/balancing/OutlierDetector.h
+++ b/src/balancing/OutlierDetector.h
@@ -26,8 +26,10 @@
 
   /// Records a read that took \p slowness times the usual time of such reads,
   /// or that was moved to another instance after so long without an answer.
+  /// Adds an unknown instance.
   void noteAnswer(TimePoint now, const InstanceId &id, double slowness);
   /// Records a read that failed there, was refused or got no answer at all.
+  /// Adds an unknown instance.
   void noteFailure(TimePoint now, const InstanceId &id);
 
   /// The share of its usual reads that the instance gets, from MinWeight
--- a/src/balancing/types/OutlierOptions.h
+++ b/src/balancing/types/OutlierOptions.h
@@ -27,13 +27,15 @@
   /// An instance is an outlier above this multiple of its siblings' slowness.
   /// Statements of one route differ by up to twice among themselves.
   double SlowEnterFactor = 2.5;
-  /// It stays an outlier until it is below this multiple.
+  /// While its share is reduced, an instance counts as an outlier above this
+  /// multiple.
   double SlowExitFactor = 1.5;
   /// An instance is an outlier if this much more of its reads fail than of its
-  /// siblings'. Two failures in a row reach it, one doesn't: a client's own
-  /// error isn't enough.
+  /// siblings'. With many recent answers, two failures in a row reach it, one
+  /// doesn't: a client's own error isn't enough.
   double FailingEnterMargin = 0.15;
-  /// It stays an outlier until it is below this difference.
+  /// While its share is reduced, an instance counts as an outlier above this
+  /// margin.
   double FailingExitMargin = 0.05;
   /// Number of answers below which an instance is never an outlier.
   int MinSamples = 5;
--- a/src/overload/ReportedWaits.h
+++ b/src/overload/ReportedWaits.h
@@ -30,8 +30,8 @@
 public:
   explicit ReportedWaits(ReportedWaitOptions options = {}) : Options(options) {}
 
-  /// Records that \p lender expects a borrow of that urgency to wait for
-  /// \p wait.
+  /// Records that \p lender expects a borrow of that urgency to wait \p wait; a
+  /// more urgent one then waits no longer.
   void note(TimePoint now, const InstanceId &instance,
             const std::string &lender, const Urgency &urgency, Duration wait);
   /// The remainder of the longest wait reported for borrows that are at least
--- a/src/overload/RetryDelay.h
+++ b/src/overload/RetryDelay.h
@@ -12,9 +12,10 @@
 
 namespace stepledge::overload {
 
-/// A delay between one and two times \p wait, after which there should be
-/// capacity. A hash of \p statement spreads it evenly, so that clients refused
-/// together retry one by one, at about the rate at which the queue shrinks.
+/// A delay between one and two times \p wait, or 5 ms if that is longer, after
+/// which there should be capacity. A hash of \p statement spreads it evenly, so
+/// that clients refused together retry one by one, at about the rate at which
+/// the queue shrinks.
 Duration retryDelay(Duration wait, std::string_view statement);
 
 } // namespace stepledge::overload
--- a/src/overload/WaitPolicy.h
+++ b/src/overload/WaitPolicy.h
@@ -12,10 +12,11 @@
 namespace stepledge::overload {
 
 struct WaitOptions {
-  /// Default maximum wait: a primary is replaced in less time, and the client
-  /// still has time for two more tries.
+  /// Maximum wait of a transaction under way, for a new primary, or with an
+  /// unknown timeout; others have that of maxLateAge(). A primary is replaced
+  /// in less time, and the client still has time for two more tries.
   Duration MaxWait = milliseconds(700);
-  /// The same for a statement that can't be sent from this VM for now.
+  /// The maximum wait of any statement that can't be sent from this VM for now.
   Duration MaxWaitUnsendable = milliseconds(40);
   /// A statement that is kept from an overloaded primary waits for this part of
   /// its objective, one or two statement times, in case the overload ends at
--- a/src/proxy/IProxyIo.h
+++ b/src/proxy/IProxyIo.h
@@ -39,8 +39,9 @@
   std::string Address;
   std::string Service;
   InstanceId Instance;
-  /// The organisation whose statements it carries; none for a borrowed
-  /// connection that carries the proxy's own probes.
+  /// The organisation whose statements it carries; none for one, own or
+  /// borrowed, that is opened for probes where connections belong to
+  /// organisations.
   std::optional<OrganisationId> Organisation;
   /// The VM that lends one of its connections for each borrow; empty for an own
   /// connection.
@@ -88,12 +89,13 @@
 public:
   virtual ~IProxyLog() = default;
   virtual void decision(const std::string &line) = 0;
-  /// A statement that an instance had to run is answered.
+  /// A statement that an instance had to run is answered, also with a refusal.
   virtual void answered(ReplyCode code, Duration took) {
     (void)code;
     (void)took;
   }
-  /// A statement that was not run is being sent to another instance.
+  /// A statement that was refused or got no answer is to be sent again, to
+  /// another instance or the same one. Without an answer it may have run.
   virtual void retried(ReplyCode code) { (void)code; }
   /// A statement was refused as not run: at once for lack of capacity, or after
   /// it had waited for capacity, a primary or its quota.
--- a/src/proxy/internal/ConnectionPool.h
+++ b/src/proxy/internal/ConnectionPool.h
@@ -31,16 +31,16 @@
   explicit ConnectionPool(IProxyIo &io) : Io(io) {}
 
   InstanceConnection *find(ConnectionId id);
-  /// A free connection of \p organisation to \p instance, preferably one with
-  /// \p values already set, which needs no setup. Own connections are used only
-  /// if \p usesDirect.
+  /// A free connection of \p organisation to \p instance, an own one before a
+  /// borrowed one, and preferably one with \p values already set, which needs
+  /// no setup. Own connections are used only if \p usesDirect.
   InstanceConnection *findFree(const InstanceId &instance,
                                const OrganisationId &organisation,
                                const SessionValues &values, bool usesDirect);
-  /// The free connection for the proxy's own probes that has been idle longest,
-  /// so that the probes detect silent connections; \p usesDirect as for
-  /// findFree. Any own connection is suitable, and a borrowed one if it was
-  /// borrowed for \p borrowedFor.
+  /// The free connection for the proxy's own probes, an own one before a
+  /// borrowed one, that has been idle longest, so that the probes detect silent
+  /// connections; \p usesDirect as for findFree. Any own connection is
+  /// suitable, and a borrowed one if it was borrowed for \p borrowedFor.
   InstanceConnection *
   findForProbe(const InstanceId &instance, bool usesDirect,
                const std::optional<OrganisationId> &borrowedFor);
@@ -48,10 +48,10 @@
   InstanceConnection *
   findFreeDirect(const InstanceId &instance,
                  const std::optional<OrganisationId> &organisation);
-  /// Opens one more connection for \p organisation, unless the share or an
-  /// earlier refusal by the instance forbids it. At the limit of the share a
-  /// free connection of another organisation is closed for it: of the one with
-  /// the lowest recent rate of use of the instance.
+  /// Opens one more connection for \p organisation. At the limit of the share,
+  /// or for an own connection while opening is paused, it replaces a free one
+  /// of another organisation: of the one with the lowest recent rate of use of
+  /// the instance. Returns false if there is none.
   bool openOne(TimePoint now, const membership::InstanceRecord &instance,
                const ConnectionShare &share, const std::string &lenderIp,
                const std::optional<OrganisationId> &organisation);
@@ -59,11 +59,16 @@
   void noteUse(TimePoint now, const InstanceConnection &connection);
   /// Whether a connection was requested and isn't ready yet.
   bool isOpening(const InstanceId &instance) const;
+  /// The same for exactly that organisation; if none is given, for a connection
+  /// without an organisation.
   bool isOpening(const InstanceId &instance,
                  const std::optional<OrganisationId> &organisation) const;
+  /// Removes the connection and closes its socket.
   void close(ConnectionId id);
+  /// Removes a connection whose socket is already closed.
   void remove(ConnectionId id);
-  /// Opens no new connection before \p until, since the instance refused one.
+  /// Opens no additional own connection before \p until, since the instance
+  /// refused one.
   void pauseOpeningUntil(const InstanceId &instance, TimePoint until);
   int countOf(const InstanceId &instance) const;
   /// A copy, since handling a connection may change the pool.
@@ -86,14 +91,16 @@
   Duration openingPauseLeft(TimePoint now, const InstanceId &instance) const;
   /// Own connections that the instance hasn't accepted yet.
   int openingCount(const InstanceId &instance) const;
-  /// Connections that open transactions of \p organisation hold.
+  /// Connections that open transactions of this VM's clients of \p organisation
+  /// hold.
   int pinnedCount(const InstanceId &instance,
                   const OrganisationId &organisation) const;
   /// Own connections that are idle in a transaction, of this VM or a borrower,
   /// since \p since or longer.
   int idleInTransactionCount(const InstanceId &instance, TimePoint since) const;
-  /// Send time of the oldest unanswered command whose answer proves whether
-  /// \p instance is the primary.
+  /// Send time of the oldest command whose answer proves whether \p instance is
+  /// the primary, of those that are the next to be answered on their
+  /// connections.
   std::optional<TimePoint> proofPendingSince(const InstanceId &instance) const;
   /// Connections with commands that \p instance hasn't answered.
   int busyCount(const InstanceId &instance) const;
@@ -127,7 +134,8 @@
   std::uint64_t LastId = 0;
 };
 
-/// The commands that set the session values of \p connection to \p values.
+/// The commands that set the session values of \p connection to \p values; also
+/// records them as set.
 std::vector<InstanceCommand> valueSetup(InstanceConnection &connection,
                                         const SessionValues &values);
 
--- a/src/proxy/internal/ConnectionSharing.cpp
+++ b/src/proxy/internal/ConnectionSharing.cpp
@@ -95,8 +95,8 @@
 
 int Proxy::homeConnections(const std::string &service) const {
   // NOTE: homes don't use all usable connections. With all 53 connections of a
-  // primary open for 70 VMs, of which four ran a statement, VMs that restarted
-  // after a power loss found no free connection on the instance for 3 s.
+  // primary open, only four of which ran a statement, VMs (70 in all) that
+  // restarted after a power loss found none free on the instance for 3 s.
   const auto share = homeShare(service);
   if (Configuration.HasOrganisations)
     return share.Connections;
@@ -313,8 +313,8 @@
   const auto facts = factsOf(now, session);
   const Duration age = now - session.Current->ArrivedAt;
   ++session.Current->FullLenderCount;
-  // NOTE: the lender compared the wait with the statement's limits, which were
-  // slightly longer then than now.
+  // NOTE: the lender compared the wait with the time that the statement had
+  // left, which was slightly longer then than now.
   ReportedWaits.note(
       now, instance, lender, {false, facts.Priority},
       std::max(expectedWait,
--- a/src/proxy/internal/InstanceTracker.h
+++ b/src/proxy/internal/InstanceTracker.h
@@ -122,9 +122,11 @@
   /// for long.
   static bool acceptsNewWork(TimePoint now, const TrackedInstance &instance);
   void remove(const InstanceId &id);
-  /// Control replaced the primary.
+  /// Control replaced the primary; ignored if a promotion with the same or a
+  /// higher fence is known.
   void notePromotion(const Promotion &promotion);
-  /// Clears the silence recorded for an instance that wasn't silent.
+  /// Clears the silence recorded for an instance that wasn't silent: it is no
+  /// longer avoided, and its direct path counts as usable again.
   void clearSilence(const InstanceId &id);
 
   TrackedInstance *find(const InstanceId &id);
@@ -132,12 +134,12 @@
 
   /// The instance to ask for writes and current reads, if one is known.
   std::optional<InstanceId> primary(TimePoint now) const;
-  /// The expected primary recently reported that it isn't the primary, and no
-  /// other instance has proved to be.
+  /// No instance has proved to be the primary, and at least one recently
+  /// reported that it isn't.
   bool isPrimaryDenied(TimePoint now) const;
-  /// The instances for a read that needs \p minimum, best first. An outlier is
-  /// left out where a sibling should have the position, unless \p draw assigns
-  /// the read to it.
+  /// The instances for a read that needs \p minimum, best first. Where a
+  /// sibling should have the position, an outlier to which \p draw doesn't
+  /// assign the read is left out, or comes last if the read has waited long.
   std::vector<InstanceId> readCandidates(TimePoint now, const Mark &minimum,
                                          const std::set<InstanceId> &tried,
                                          const ReadDraw &draw = {}) const;
@@ -147,14 +149,14 @@
 
   void notePosition(TimePoint now, const InstanceId &id, const Mark &position);
   /// Records that \p id began a read-write transaction, which only a primary
-  /// does.
+  /// does; ignored if canBePrimary() is false.
   void noteProof(TimePoint sentAt, const InstanceId &id, const Mark &position);
   /// The least position that covers all commits acknowledged before \p time.
   std::optional<Mark> coveringPosition(TimePoint time) const;
   std::optional<TimePoint> newestProofAt() const;
   void noteAnswer(TimePoint now, const InstanceId &id, Duration took);
-  /// Records an answer that a statement failed or was refused, which is no
-  /// sample of the service time.
+  /// The instance answered with a failure or refusal: it is no longer avoided,
+  /// and its service time gets no sample.
   void noteRefusal(TimePoint now, const InstanceId &id);
   void noteSilence(TimePoint now, const InstanceId &id);
   void noteNotPrimary(TimePoint now, const InstanceId &id);
--- a/src/proxy/internal/Lender.h
+++ b/src/proxy/internal/Lender.h
@@ -52,8 +52,9 @@
 public:
   virtual ~ILendablePool() = default;
 
-  /// A free own connection for \p organisation, or for any if none is given. If
-  /// there is none, opens one for later use if the share allows it.
+  /// A free own connection for \p organisation, or for any if none is given;
+  /// null at the running limit. If none is free, opens one for later use if the
+  /// share allows it.
   virtual InstanceConnection *
   findLendable(TimePoint now, const std::string &service,
                const InstanceId &instance,
@@ -61,16 +62,17 @@
   /// Whether this VM has a path to the instance, as far as known.
   virtual bool reaches(const std::string &service,
                        const InstanceId &instance) = 0;
-  /// Whether nothing has been received from the instance since \p sentAt.
+  /// Whether nothing has been received on own connections to the instance since
+  /// \p sentAt, and the direct path counts as lost.
   virtual bool isSilentSince(const std::string &service,
                              const InstanceId &instance, TimePoint sentAt) = 0;
-  /// Whether an own connection should be free soon: one is being opened, or has
-  /// recently served a borrow or transaction.
+  /// Whether an own connection should be free soon: there is one, open or being
+  /// opened, that no transaction idle for IdleTransactionTime holds.
   virtual bool expectsFreeConnection(TimePoint now,
                                      const InstanceId &instance) = 0;
   /// The number of own connections to the instance, including those being
-  /// opened, without those whose transactions have been idle for long; at least
-  /// one.
+  /// opened, without those whose transactions have been idle for long; at most
+  /// the running limit, at least one.
   virtual int lendableConnections(TimePoint now, const std::string &service,
                                   const InstanceId &instance) = 0;
   /// For the log only; no decision depends on it.
@@ -87,9 +89,10 @@
 };
 
 struct LenderOptions {
-  /// A borrow without a latency objective that gets no connection within this
-  /// time is refused as not run, so that the borrower can ask another home in
-  /// time; about the tightest latency objective.
+  /// A borrow without a latency objective, or with one while the hold time is
+  /// unknown, that gets no connection within this time is refused as not run,
+  /// so that the borrower can ask another home in time; about the tightest
+  /// latency objective.
   Duration QueueTimeout = milliseconds(150);
   /// An instance is silent if commands have no answer for this long and nothing
   /// else has been received from it since; a few answer times.
@@ -104,6 +107,9 @@
          scheduling::QueueScheduler &scheduler, LenderOptions options = {})
       : Pool(pool), Io(io), Log(log), Scheduler(scheduler), Options(options) {}
 
+  /// Starts a borrow, and refuses it if it can't be served, or sends further
+  /// commands of one that has a connection. Reports Lost for further commands
+  /// of any other, such as one that has ended.
   void request(TimePoint now, const BorrowKey &key, BorrowRequest request);
   /// The borrower ends the borrow.
   void end(TimePoint now, const BorrowKey &key);
@@ -118,6 +124,7 @@
   /// Serves the instance's queue, since a connection may be free.
   void serveQueue(TimePoint now, const std::string &service,
                   const InstanceId &instance);
+  /// Reports silent instances, refuses overdue borrows and serves the queues.
   void tick(TimePoint now);
   /// Refuses new borrows; existing ones continue.
   void stop() { IsStopping = true; }
--- a/src/proxy/types/ProxyOptions.h
+++ b/src/proxy/types/ProxyOptions.h
@@ -31,7 +31,9 @@
   /// The burst of such retries: a VM with few reads may retry some, and the
   /// bursts of many VMs together don't overload an instance.
   double ReadRetryBurst = 2;
-  /// The pause before a statement is sent to the same instance again.
+  /// The pause before a statement that only the primary may run is sent again,
+  /// times the number of sends up to MaxPauseFactor; none after a lender's
+  /// refusal. After a busy reply in an open transaction it doesn't grow.
   Duration RetryPause = milliseconds(25);
   /// How often the primary is asked for its position when no statement returned
   /// one: bounded reads need one younger than their staleness.
@@ -50,7 +52,8 @@
   /// hall this reduces the bytes between halls by a fifth.
   Duration LocalityWait = milliseconds(15);
   /// A statement waits this long before a connection beyond the share that is
-  /// kept open is opened for it: about the usual answer time.
+  /// kept open is opened for it, unless open transactions hold all connections:
+  /// about the usual answer time.
   Duration ExtraConnectionDelay = milliseconds(20);
   /// A connection beyond the share that is kept open is closed after this idle
   /// time.
@@ -64,11 +67,12 @@
   /// on other connections: a few statement times, so that the connection is
   /// replaced before many statements run into it.
   Duration SuspectLifetime = milliseconds(600);
-  /// An open transaction whose statement has no answer, although statements
-  /// sent later have one, is aborted after this time, but not before
-  /// SilentTransactionFactor times the instance's answer time. The client can
-  /// then repeat the whole transaction; after the route's timeout it would have
-  /// no time left for that.
+  /// An open transaction is aborted after this time without an answer, but not
+  /// before SilentTransactionFactor times the instance's answer time, if
+  /// statements sent later have an answer, or if the direct path is lost and
+  /// nothing was received since; not during a commit or on a borrowed
+  /// connection. The client can then repeat the whole transaction; after the
+  /// route's timeout it would have no time left for that.
   Duration SilentTransactionLimit = milliseconds(250);
   int SilentTransactionFactor = 8;
   /// An instance that takes longer to accept a connection counts as
@@ -98,8 +102,8 @@
   /// A transaction without a statement for this long counts as idle: well above
   /// the pauses of clients that are active.
   Duration IdleTransactionTime = milliseconds(700);
-  /// No new connection is opened for this long after an instance had no free
-  /// slot.
+  /// No new connection is opened for this long after an instance refused a
+  /// connection, usually because it had none free.
   Duration FullInstancePause = milliseconds(1000);
   /// The same for a VM that has no connection to that instance at all.
   Duration FullInstancePauseUnconnected = milliseconds(120);
--- a/src/quota/IQuotaIo.h
+++ b/src/quota/IQuotaIo.h
@@ -44,7 +44,7 @@
   OrganisationId Organisation;
   GrantResult Result = GrantResult::Unknown;
   int Operations = 0;
-  /// When an operation is available again, for an exhausted quota.
+  /// The time until an operation is available again, for an exhausted quota.
   Duration RetryAfter{};
 };
 
--- a/src/quota/PriorityRates.h
+++ b/src/quota/PriorityRates.h
@@ -20,14 +20,15 @@
 
   void note(TimePoint now, int priority, double operations = 1);
   double perSecond(TimePoint now, int priority) const;
-  /// The rate at the last recorded operation.
+  /// The rate at the last recorded operation. It is taken over the full
+  /// smoothing time, so it is lower after a start.
   double lastPerSecond(int priority) const;
   /// The rate of all priorities up to and including \p last, the least urgent
   /// of them.
   double perSecondUpTo(TimePoint now, int last) const;
   double totalPerSecond(TimePoint now) const;
-  /// The time that the counts cover: less than the smoothing time if nothing
-  /// was counted before, as after a start.
+  /// The time that the counts cover: it approaches the smoothing time, and is
+  /// less if nothing was counted before, as after a start.
   double countedSeconds(TimePoint now) const;
 
 private:
--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -36,8 +36,8 @@
 /// A part that begins almost empty is full after about this time at the usual
 /// use.
 constexpr Duration PartFillTime = milliseconds(3000);
-/// The maximum fraction of a hall's part that is reserved, so that a small
-/// burst leaves operations for the less urgent requests too.
+/// The maximum fraction of the capacity of a hall's part that is reserved, so
+/// that a small burst leaves operations for the less urgent requests too.
 constexpr double MaxReservedFraction = 0.5;
 /// The smoothing time of the demand on a home: an organisation that exceeds its
 /// rate only for a moment is within its burst, and all its requests are treated
@@ -319,7 +319,7 @@
 
 int QuotaLedger::likelyUsed(int operations) const {
   // The operations asked for ahead are the asker's expected use within
-  // Forecast, from which its use within the lifetime of a lease follows.
+  // ForecastTime, from which its use within the lifetime of a lease follows.
   const std::chrono::duration<double> leaseTime = Options.LeaseTime;
   const std::chrono::duration<double> ahead = Options.ForecastTime;
   const double used = (operations - 1) * leaseTime.count() / ahead.count();
--- a/src/quota/QuotaLedger.h
+++ b/src/quota/QuotaLedger.h
@@ -6,9 +6,10 @@
 /// Each hall has a fixed part of a quota, kept by one of its VMs, the home; the
 /// other VMs borrow operations from it for a short time and as needed. A hall
 /// that has used its part up borrows from halls that have some left. So the sum
-/// over all VMs holds if VMs are partitioned, restart or have different VM
-/// lists: no two homes lend the same part, except at the moment at which one is
-/// considered lost, and then the new one begins with almost nothing.
+/// over all VMs stays within the quota if VMs are partitioned, restart or have
+/// different VM lists: no two homes lend the same part, except at the moment at
+/// which one is considered lost, and then the new one begins with almost
+/// nothing.
 ///
 /// While an organisation asks for more than its rate, a home reserves what its
 /// more urgent requests have used recently, against the less urgent ones of all
--- a/src/scheduling/FairShares.h
+++ b/src/scheduling/FairShares.h
@@ -21,8 +21,9 @@
   /// An organisation that has used nothing for this long starts like the
   /// others: a longer memory would count a past flood against it.
   Duration UsageRetention = std::chrono::seconds(5);
-  /// If no statement has waited for this long, usage is at no organisation's
-  /// expense. A VM checks its waiting statements every 10 to 40 ms.
+  /// If no statement has been waiting during this time, usage is at no
+  /// organisation's expense. A VM checks its waiting statements every 10 to 40
+  /// ms.
   Duration IdleAfter = milliseconds(100);
   /// One in this many services goes to the statement that has waited longest
   /// and can still be answered in time, so that no kind of statement starves;
@@ -70,6 +71,7 @@
   }
   /// Whether the kept usage no longer matters.
   bool isExpired(TimePoint now) const;
+  /// The number of organisations whose usage is kept.
   std::size_t size() const { return Accounts.size(); }
 
 private:
--- a/src/scheduling/QueueScheduler.h
+++ b/src/scheduling/QueueScheduler.h
@@ -57,15 +57,17 @@
     return keys;
   }
 
-  /// Indices into \p ranks, the one to serve first in front. First come, first
-  /// served; once a statement has waited too long, those that can still be
-  /// answered in time go first, the tightest objectives before the others and
-  /// the newest before the older: first come, first served would make all late.
+  /// Indices into \p ranks, the one to serve first in front: by priority, then
+  /// first come, first served. Once a statement has waited too long, those that
+  /// aren't late go first, then by priority, the tightest objective and the
+  /// newest: first come, first served would make all late.
   std::vector<std::size_t> order(TimePoint now,
                                  const std::vector<WaitRank> &ranks) const;
-  /// The same between organisations: statements that can still be answered in
-  /// time go first, then the organisation that has used least for its weight;
-  /// each organisation's own statements are in the order above.
+  /// The same between organisations, whose shares it updates: statements that
+  /// aren't late go first, then those within the fair share, by priority and
+  /// then by the least usage for the weight; those over it by usage alone.
+  /// Otherwise an organisation's statements are in the order above. At
+  /// intervals the oldest that isn't late goes first.
   std::vector<std::size_t> fairOrder(TimePoint now, const QueueId &queue,
                                      const std::vector<WaitRank> &ranks);
   /// The number of organisations that wait behind another that has used less,
