--- a/src/admission/types/WorkClass.h
+++ b/src/admission/types/WorkClass.h
@@ -16,9 +16,9 @@
 enum class WorkClass {
   /// Statements of open transactions, which hold resources that others need.
   Transaction,
-  /// Bookings and orders, and statements that open a transaction.
+  /// Writes, and statements that open a transaction.
   Write,
-  /// Reads of current data, or of a session that has written.
+  /// Reads of current data, or of a session that has marks.
   SessionRead,
   /// Reads that may be answered from older data.
   Browse,
--- a/src/base/ResultTable.h
+++ b/src/base/ResultTable.h
@@ -38,7 +38,8 @@
 /// A status that carries \p code and a readable \p detail.
 absl::Status makeStatus(ResultCode code, std::string_view detail);
 
-/// The code of a status from makeStatus(); Done for an OK status.
+/// The code of a status from makeStatus(); Done for an OK status, BodyInvalid
+/// for any other.
 ResultCode codeOf(const absl::Status &status);
 
 } // namespace stepledge
--- a/src/base/types/Ids.h
+++ b/src/base/types/Ids.h
@@ -40,7 +40,8 @@
 using OrganisationId = NamedId<struct OrganisationTag>;
 /// Identifies a decision or request across VMs: "<vm>-<number>".
 using DecisionId = NamedId<struct DecisionTag>;
-/// Identifies an open transaction and its owner: "<vm>.<number>.<nonce>".
+/// Identifies an open transaction and its owner:
+/// "<vm>.<database>.<number>.<nonce>".
 using TransactionId = NamedId<struct TransactionTag>;
 
 /// A number issued by one process; numbers of different kinds are different
--- a/src/consensus/ConsensusNode.cpp
+++ b/src/consensus/ConsensusNode.cpp
@@ -123,8 +123,9 @@
   }
   if (message.to() != Self.number())
     return;
-  // NOTE: a pre-vote's term is one that no member has entered, but a refused
-  // pre-vote has its sender's own term, which may be newer.
+  // NOTE: a pre-vote's term is one that no member has entered, but a reply that
+  // refuses a pre-vote carries the term of the member that refuses, which may
+  // be newer.
   const bool isPreVote =
       (message.has_vote_request() && message.vote_request().is_trial()) ||
       (message.has_vote_reply() && message.vote_reply().is_trial() &&
--- a/src/consensus/ConsensusNode.h
+++ b/src/consensus/ConsensusNode.h
@@ -67,16 +67,19 @@
 
   void tick(TimePoint now);
   void receive(TimePoint now, const wire::Message &message);
-  /// Messages to and from \p ip arrive from now on.
+  /// Messages to and from \p ip arrive from now on. A leader sends to the
+  /// member there at once; a starting member asks it for its vote again or
+  /// starts a pre-vote.
   void connectionMade(TimePoint now, const std::string &ip);
-  /// Messages to \p ip may be lost; unanswered ones are sent again.
+  /// Messages to \p ip may be lost; a leader sends its unanswered batch or
+  /// snapshot again.
   void connectionLost(TimePoint now, const std::string &ip);
   /// All records up to \p ticket are on disk.
   void persisted(TimePoint now, std::uint64_t ticket);
   /// Returns the entry's index; nothing if this member doesn't lead.
   std::optional<std::uint64_t> propose(TimePoint now, std::string command);
-  /// Once the read is confirmed, Effects returns \p token. False if this member
-  /// can't serve reads.
+  /// Effects returns \p token in ConfirmedReads or FailedReads. False if this
+  /// member can't serve reads.
   bool requestRead(TimePoint now, std::uint64_t token);
   /// Replaces the log up to \p index by the applied state, which is sent to
   /// members that are far behind.
@@ -147,7 +150,8 @@
   void startElection(TimePoint now);
   void requestVotes(bool isPreVote);
   void requestVote(bool isPreVote, const wire::Member &voter);
-  /// True until the first message of a leader since the start of this member.
+  /// True until the first message of a leader since the start of this member,
+  /// or until it becomes leader itself.
   bool isStarting() const { return LeaderContact == TimePoint{}; }
   bool canStartPreVote(TimePoint now) const;
   /// How long members become candidates in order; longer after an election
@@ -155,8 +159,8 @@
   Duration orderedCandidacyTime() const {
     return std::max(Options.OrderedCandidacyTime, StartTimeout);
   }
-  /// After a vote was given, this member starts no pre-vote and answers none
-  /// for a while.
+  /// After a vote was given, also to itself, a starting member starts no
+  /// pre-vote and answers none for a while.
   void protectVote(TimePoint now);
   /// Returns the sender of \p preVote if it is a competing candidate while
   /// members become candidates in order, else nullptr.
--- a/src/consensus/LogStore.h
+++ b/src/consensus/LogStore.h
@@ -31,8 +31,8 @@
   LogStore(const LogStore &) = delete;
   LogStore &operator=(const LogStore &) = delete;
 
-  /// Reads the newest complete file and truncates its torn end. Returns nothing
-  /// if there is none.
+  /// Reads the newest file whose initial records were all written, and
+  /// truncates a torn record at its end. Returns nothing if there is none.
   absl::StatusOr<std::optional<LoadedLog>> load();
   /// Returns once \p records are synced. After a failure the log is unchanged,
   /// and the call may be repeated.
--- a/src/consensus/types/ConsensusOptions.h
+++ b/src/consensus/types/ConsensusOptions.h
@@ -27,12 +27,13 @@
   Duration MinStartupPreVotePause = milliseconds(40);
   Duration MaxStartupPreVotePause = milliseconds(120);
   /// For this time after a connection to another voter opens, members that have
-  /// no leader become candidates in order: the newest log first, then the
-  /// lowest number. A member that deferred to an earlier one waits for the same
-  /// time; after it the earlier one has had its turn, and the others continue
-  /// in order without it. The time covers a pre-vote, a vote and the first
-  /// entry with two syncs each, some ten round trips within a region; the next
-  /// pre-vote after it still comes before callers give up.
+  /// received no message of a leader since their start become candidates in
+  /// order: the newest log first, then the lowest number. A member that
+  /// deferred to an earlier one waits for the same time; after it the earlier
+  /// one has had its turn, and the others continue in order without it. The
+  /// time covers a pre-vote, a vote and the first entry with two syncs each,
+  /// some ten round trips within a region; the next pre-vote after it still
+  /// comes before callers give up.
   Duration OrderedCandidacyTime = milliseconds(60);
   /// After a start, until the first message of a leader arrives: the minimum
   /// time from the first election to the next pre-vote; a random time of up to
@@ -53,10 +54,11 @@
   Duration SpareLifetime = milliseconds(3000);
   /// Number of voters the group keeps: 2f + 1.
   int TargetVoters = 3;
-  /// Entries kept behind a snapshot, so that a member that was unreachable for
-  /// a moment doesn't need the full state.
+  /// Added to SnapshotEntries to tell when a snapshot is due. A snapshot keeps
+  /// no entries: a member that lacks some of them receives the full state.
   std::uint64_t EntriesKept = 64;
-  /// A snapshot is taken when this many entries or bytes have been applied.
+  /// A snapshot is due when more than SnapshotEntries + EntriesKept entries, or
+  /// more than SnapshotBytes, were added since the last one.
   std::uint64_t SnapshotEntries = 128;
   std::uint64_t SnapshotBytes = 1 << 20;
   /// Maximum bytes of entries in one message; a larger entry is sent alone.
--- a/src/control/ControlNode.h
+++ b/src/control/ControlNode.h
@@ -64,10 +64,10 @@
   /// 260 KB was sent three times while its commit took 0.7 s.
   Duration UnansweredCallRetryInterval = milliseconds(300);
   std::uint64_t MinBytesPerSecond = 125'000;
-  /// The interval of heartbeats to entry VMs.
+  /// The interval of notices to entry VMs.
   Duration NoticeInterval = milliseconds(250);
-  /// The interval of full heartbeats, which repeat what was already sent when
-  /// it changed.
+  /// The interval of full notices, which repeat what was already sent when it
+  /// changed.
   Duration FullNoticeInterval = milliseconds(2000);
   /// An instance without a heartbeat for this time, which is many heartbeat
   /// intervals, is dropped.
@@ -102,7 +102,8 @@
 
 class ControlNode : public peer::IPeerListener {
 public:
-  /// Whether the call took effect; false means that the outcome is unknown.
+  /// Whether the call was committed, or the read confirmed; false means that
+  /// the outcome is unknown.
   using OnDone = std::function<void(bool)>;
 
   ControlNode(ControlOptions options, consensus::ConsensusNode &node,
@@ -123,6 +124,8 @@
   /// False for an instance that isn't known yet and whose service the
   /// configuration doesn't name; always true before the first configuration.
   bool acceptsInstance(const membership::InstanceRecord &record) const;
+  /// Calls \p onDone at once, or, when the incarnation first reports that it
+  /// leaves, once this is committed.
   void receiveHeartbeat(TimePoint now, membership::InstanceRecord record,
                         OnDone onDone);
   /// Records that the incarnation that started at \p startTimeMs, or without it
@@ -131,7 +134,7 @@
                           std::optional<std::uint64_t> startTimeMs,
                           OnDone onDone);
   /// The start time of the known incarnation of the instance in Unix ms; 0 if
-  /// it hasn't reported one.
+  /// it hasn't reported one or the instance is unknown.
   std::uint64_t startTimeOf(const InstanceId &id) const;
 
   void tick(TimePoint now);
@@ -171,8 +174,8 @@
   std::uint64_t startCall(TimePoint now, wire::Command command, bool isRead,
                           OnDone onDone);
   void tryCall(TimePoint now, std::uint64_t number, PendingCall &call);
-  /// Whether the call's retry time has come, or another VM leads than the one
-  /// that it was forwarded to.
+  /// Whether the call's retry time has come, or there is a leader of another
+  /// term than the one that it was forwarded in.
   bool isRetryDue(TimePoint now, const PendingCall &call) const;
   /// Appends the call to this leader's log unless it is in there uncommitted.
   void propose(TimePoint now, wire::Command command);
@@ -215,7 +218,7 @@
   /// Sends the instances that have changed since the last tick to the
   /// subscribed entry VMs, all in one message. Sent one by one, 3,600 instances
   /// and 290 entry VMs cost a control VM a million messages in the ten seconds
-  /// of a start.
+  /// of a start, in a simulation.
   void sendUnsentInstances();
   void sendToControls(const peer::wire::Message &message);
   /// A full notice also lists the control VMs and the promotions.
--- a/src/control/EntryRoster.h
+++ b/src/control/EntryRoster.h
@@ -17,6 +17,8 @@
 
 class EntryRoster {
 public:
+  /// Adds the entry VM or updates its hall; ends the subscription of an earlier
+  /// connection.
   void join(const std::string &ip, const std::string &hall);
   void leave(const std::string &ip);
   /// The halls of the connected entry VMs, by address.
@@ -33,7 +35,8 @@
   void listAll(peer::wire::Notice &notice) const;
   /// Lists those that joined or left since the last call, for all the others.
   /// Listing all VMs every two seconds made up half of the traffic between
-  /// halls of 70 idle entry VMs: 20 MB in 52 s instead of 10 MB.
+  /// halls of 70 idle entry VMs: 20 MB in 52 s instead of 10 MB, in a
+  /// simulation.
   void listChanges(peer::wire::Notice &notice);
 
 private:
--- a/src/control/PrimaryFailureDetector.h
+++ b/src/control/PrimaryFailureDetector.h
@@ -24,12 +24,15 @@
   /// those of them that no longer report may be partitioned from this VM
   /// together with a primary that they still reach.
   Duration ObserverLifetime = milliseconds(20000);
-  /// The primary is lost if more than this share of the observers miss it.
+  /// The primary is lost if more than this share of the observers, and at least
+  /// two VMs, miss it.
   double FailureShare = 0.5;
   /// After this much silence, the observers that still report are enough if all
-  /// of them miss the primary: a partition that lasts so long is not transient.
+  /// of them, and at least two, miss the primary: a partition that lasts so
+  /// long is not transient.
   Duration LongSilence = milliseconds(8000);
-  /// A service's primary isn't replaced again within this time.
+  /// isLost() is false for this time after an attempt to replace the service's
+  /// primary has ended.
   Duration FailoverCooldown = milliseconds(1500);
 };
 
@@ -45,13 +48,17 @@
               Duration silentFor);
   /// The observer no longer monitors the service.
   void removeObserver(const std::string &observer, const std::string &service);
+  /// An attempt to replace the primary has ended: drops the service's reports
+  /// and starts the cooldown.
   void noteFailover(TimePoint now, const std::string &service);
   /// Drops the reports on an earlier incarnation of \p primary.
   void dropReports(const std::string &service, const InstanceId &primary);
-  /// Whether any VM reports that \p primary is silent.
+  /// Whether any VM reports that \p primary is silent, even for less than
+  /// SilenceLimit.
   bool isSuspected(TimePoint now, const std::string &service,
                    const InstanceId &primary) const;
-  /// Whether enough of the VMs that report on \p primary report it as silent.
+  /// Whether enough of the VMs that report on \p primary, and at least two,
+  /// report it as silent.
   bool isLost(TimePoint now, const std::string &service,
               const InstanceId &primary) const;
   void clear() { Services.clear(); }
--- a/src/control/internal/FailoverCoordinator.cpp
+++ b/src/control/internal/FailoverCoordinator.cpp
@@ -309,8 +309,9 @@
   Log.log(absl::StrCat("event=promotion_void service=", instance.Service,
                        " instance=", instance.Id.str(), " fence=",
                        it->second.Fence, " reason=\"it has started again\""));
-  // NOTE: not finishAttempt(), which holds off the next replacement: there was
-  // none, and the next order, under a higher fence, must supersede this one.
+  // NOTE: not finishAttempt(), which starts the cooldown: no primary has been
+  // replaced, and the next order, under a higher fence, must supersede this
+  // one.
   endAttempt(now, instance.Service);
 }
 
--- a/src/control/internal/FailoverCoordinator.h
+++ b/src/control/internal/FailoverCoordinator.h
@@ -30,14 +30,15 @@
       : Node(node), Promoter(promoter), Probe(probe), Log(log) {}
 
   void tick(TimePoint now);
-  /// A TakeFence entry was committed at \p index.
+  /// A TakeFence entry was committed at \p index; ignored unless this member
+  /// proposed it and waits for it.
   void fenceCommitted(TimePoint now, const wire::Command &command,
                       std::uint64_t index);
   /// The instance has restarted without its data: its answers and an order to
   /// promote it are void.
   void instanceRestarted(TimePoint now,
                          const membership::InstanceRecord &instance);
-  /// This member has lost or regained leadership.
+  /// This member has gained or lost leadership.
   void reset() {
     Attempts.clear();
     PromotionOrderedAt.clear();
--- a/src/distribution/ConfigurationFetch.h
+++ b/src/distribution/ConfigurationFetch.h
@@ -19,7 +19,7 @@
 
 /// Result of a received part.
 enum class PartResult {
-  /// The part doesn't belong to the current fetch.
+  /// The part isn't the next one of the current fetch.
   Unexpected,
   /// More parts are expected.
   Taken,
@@ -31,16 +31,16 @@
 
 class ConfigurationFetch {
 public:
-  /// A fetch that is behind MinBytesPerSecond by more than this starts again,
-  /// at another control VM if one is announced; it is some sixty times the
-  /// transfer time of a part on a link of 2 Mbit/s. The limit doubles with each
-  /// such restart, so that repeats can't fill a link that is slower than
-  /// MinBytesPerSecond.
+  /// A fetch that is behind MinBytesPerSecond by more than this starts again at
+  /// another control VM if one is announced, and by more than twice this at the
+  /// same one; it is some sixty times the transfer time of a part on a link of
+  /// 2 Mbit/s. The limit doubles with each such restart, so that repeats can't
+  /// fill a link that is slower than MinBytesPerSecond.
   static constexpr Duration InitialTimeout = milliseconds(1000);
   static constexpr Duration MaxTimeout = milliseconds(8000);
-  /// Bytes per second: a quarter of a link of 2 Mbit/s. Without it, a control
-  /// VM that sent a part of 4 KB each 0.9 s was kept for 11.7 s, while another
-  /// one could have sent all 13 parts within 0.3 s.
+  /// Bytes per second: a quarter of a link of 2 Mbit/s. Without it, in a
+  /// simulation, a control VM that sent a part of 4 KB each 0.9 s was kept for
+  /// 11.7 s, while another one could have sent all 13 parts within 0.3 s.
   static constexpr std::int64_t MinBytesPerSecond = 64 << 10;
 
   explicit ConfigurationFetch(peer::IPeerSender &peers) : Peers(peers) {}
@@ -58,7 +58,7 @@
   /// The delta could not be applied: the next fetch waits for Timeout, and
   /// twice as long after each further rejection. Without this delay, 240
   /// fetches went over the link in 10 s when six control VMs announced their
-  /// versions each 250 ms.
+  /// versions each 250 ms, in a simulation.
   void reject(TimePoint now);
   /// The connection to \p ip was lost, which ends a fetch from there.
   void connectionLost(const std::string &ip);
--- a/src/distribution/ConfigurationSender.h
+++ b/src/distribution/ConfigurationSender.h
@@ -22,7 +22,7 @@
 public:
   /// Bytes of a delta in one message. On a link of 2 Mbit/s it takes 16 ms, by
   /// which it may delay heartbeats and clients' statements; full documents
-  /// delayed them by 780 ms.
+  /// delayed them by 780 ms in a simulation.
   static constexpr std::size_t PartBytes = 4096;
 
   void take(control::Configuration configuration) {
--- a/src/failover/ReplacementDriver.cpp
+++ b/src/failover/ReplacementDriver.cpp
@@ -179,8 +179,9 @@
   out.push_back(PromoteInstance{ChosenInstance, NextTerm});
 }
 
-// Orders every instance with an older promise to follow the primary that a
-// majority has promised to. Any VM may repeat this order at any time.
+// Orders the reachable instances that do not yet follow the current primary
+// (fenced at its term, or with an older promise and not yet a replica with
+// entries of its term) to follow it. Safe for several VMs to repeat.
 void ReplacementDriver::orderFollowers(
     const GroupView &view, TimePoint now,
     std::vector<ReplacementOrder> &out) const {
--- a/src/failover/ReplacementDriver.h
+++ b/src/failover/ReplacementDriver.h
@@ -31,9 +31,10 @@
   Duration AskInterval = milliseconds(25);
   /// VMs in other halls that must agree; 0 if there are none.
   int AgreementNeeded = 1;
-  /// An attempt that makes no progress for this long is restarted.
+  /// An attempt that makes no progress for this long is ended.
   Duration AttemptTimeout = milliseconds(1500);
-  /// Minimum time between two replacements.
+  /// Minimum time from the end of this VM's own replacement until it begins the
+  /// next one.
   Duration Rest = milliseconds(3000);
   /// An instance that promised a later term than the primary's, and so follows
   /// no primary, is brought back by a new term after this long.
@@ -54,7 +55,8 @@
                                      TimePoint now);
 
   /// Records whether a VM in another hall receives no answers from the primary
-  /// of \p term.
+  /// of \p term; ignored unless the VMs are being asked about that term. One VM
+  /// that disagrees blocks the replacement until they are asked again.
   void receivePeerReport(const VmId &peer, Term term, bool isSilent);
 
   /// Whether no primary has answered within the suspect time.
--- a/src/failover/TermAllotment.h
+++ b/src/failover/TermAllotment.h
@@ -13,11 +13,11 @@
 namespace stepledge::failover {
 
 /// Each VM has a unique number and issues only the terms that leave this number
-/// as remainder modulo Numbers. So two VMs that replace a primary at the same
-/// time never promote two instances in one term, without any coordination.
+/// as remainder modulo VmNumberLimit. So two VMs that replace a primary at the
+/// same time never promote two instances in one term, without any coordination.
 class TermAllotment {
 public:
-  /// VM numbers are from 1 to Numbers - 1.
+  /// VM numbers are from 1 to VmNumberLimit - 1.
   static constexpr std::uint64_t VmNumberLimit = 4096;
 
   explicit TermAllotment(std::uint64_t vmNumber) : VmNumber(vmNumber) {}
--- a/src/failover/types/ReplacementOrder.h
+++ b/src/failover/types/ReplacementOrder.h
@@ -37,8 +37,8 @@
   bool operator==(const FollowPrimary &) const = default;
 };
 
-/// Ask the other VMs whether they receive answers from the primary of \p
-/// Current.
+/// Ask the VMs in other halls whether they receive answers from the primary of
+/// \p Current.
 struct AskPeers {
   Term Current;
   bool operator==(const AskPeers &) const = default;
--- a/src/membership/HomeTable.h
+++ b/src/membership/HomeTable.h
@@ -22,11 +22,13 @@
   /// The maximum number of homes of one instance: enough that losing one
   /// doesn't interrupt service, few enough that each keeps several connections.
   int MaxHomes = 6;
-  /// The minimum number of connections per home; an instance with fewer
-  /// connections has fewer homes.
+  /// One home per this many of an instance's connections, at least one and at
+  /// most MaxHomes. The connections of non-homes are deducted afterwards, so a
+  /// home may get fewer.
   int MinConnections = 4;
-  /// One in this many of an instance's connections is left to non-home VMs, one
-  /// each, as a fallback for a home that is full or unreachable.
+  /// At least one in this many of an instance's connections, rounded down, is
+  /// left to non-home VMs, one each, as a fallback for a home that is full or
+  /// unreachable.
   int NonHomeDivisor = 8;
 };
 
@@ -49,14 +51,14 @@
   void setEntries(std::vector<EntryVm> entries);
   const std::vector<EntryVm> &entries() const { return Entries; }
 
-  /// True if \p usable connections are too few for every VM to have its own.
+  /// True if there are fewer than 1.5 \p usable connections per VM.
   bool isSharingNeeded(int usable) const;
   HomeShare share(int usable) const;
   /// This VM's even part, at least one, of the \p connections to \p instance in
   /// \p hall. The remainder goes first to the VMs in the instance's hall, which
-  /// send it reads, then to VMs that differ by instance. Where there are at
-  /// least as many connections as VMs, the parts of all VMs with the same list
-  /// add up to \p connections.
+  /// send it reads, then to other VMs, in an order that differs by instance.
+  /// Where there are at least as many connections as VMs, the parts of all VMs
+  /// with the same list add up to \p connections.
   int evenShare(const InstanceId &instance, const HallId &hall,
                 int connections);
   bool isHome(const InstanceId &instance, const HallId &hall,
@@ -74,8 +76,9 @@
   std::vector<std::string> homesOf(const InstanceId &instance,
                                    const HallId &hall, const HomeShare &share,
                                    const OrganisationId &organisation);
-  /// The non-home VMs that may hold one connection, in an order that differs by
-  /// \p organisation, so that requests are spread over them.
+  /// The non-home VMs that may hold one connection, which may include this VM,
+  /// in an order that differs by \p organisation, so that requests are spread
+  /// over them.
   std::vector<std::string> nonHomesOf(const InstanceId &instance,
                                       const HallId &hall,
                                       const HomeShare &share,
@@ -102,8 +105,8 @@
   std::map<InstanceId, Ranking> Rankings;
   /// Cached the same way: a share is computed per free connection and tick,
   /// which took 3.1 us with 69 VMs and 14.6 us with 300 without the cache and
-  /// takes 0.07 and 0.08 us with it, while a tick has about 1,000 us on a small
-  /// processor.
+  /// takes 0.07 and 0.08 us with it (timed in isolation), while a tick has
+  /// about 1,000 us on a small processor.
   std::map<InstanceId, int> RemainderRanks;
 };
 
--- a/src/membership/InstanceDirectory.cpp
+++ b/src/membership/InstanceDirectory.cpp
@@ -13,8 +13,8 @@
     return known;
   if (update.StartTimeMs > known.StartTimeMs) {
     InstanceRecord next = update;
-    // NOTE: a start time reported for the first time is no restart: the
-    // instance may have started long ago.
+    // NOTE: a start time reported for the first time doesn't show that data was
+    // lost: the instance may have started long ago.
     next.HasRestarted |= known.StartTimeMs != 0;
     return next;
   }
--- a/src/membership/InstanceDirectory.h
+++ b/src/membership/InstanceDirectory.h
@@ -23,8 +23,9 @@
   Alive,
   /// The record has changed, and other VMs must receive it.
   Changed,
-  /// As Changed, and the instance has restarted under its id: the state learned
-  /// from its previous incarnation is no longer valid.
+  /// As Changed, and the instance has restarted under its id, or reports its
+  /// start time for the first time: the state learned from its previous
+  /// incarnation is no longer valid.
   Restarted,
 };
 
@@ -38,8 +39,9 @@
 public:
   /// Merges a record received from the instance or from another VM.
   HeartbeatEffect merge(TimePoint now, const InstanceRecord &record);
-  /// Permanently raises the state of the incarnation that started at \p
-  /// startTimeMs to \p state.
+  /// Permanently raises the state of the incarnation that started at
+  /// \p startTimeMs to \p state. False if the instance is unknown or of another
+  /// incarnation, or its state is already as late.
   bool raiseState(const InstanceId &id, std::uint64_t startTimeMs,
                   InstanceState state);
   const InstanceRecord *find(const InstanceId &id) const;
--- a/src/request/internal/ActiveRequest.h
+++ b/src/request/internal/ActiveRequest.h
@@ -33,7 +33,8 @@
   Probing,
   /// The probe found the key; its recorded answer is being read.
   ProbeReading,
-  /// The write ran; its answer waits until a majority holds AwaitedMark.
+  /// The write or transaction was committed; its answer waits until a majority
+  /// holds AwaitedMark.
   AwaitingMajority,
   Beginning,
   InTransaction,
--- a/src/request/internal/ObservationRow.h
+++ b/src/request/internal/ObservationRow.h
@@ -13,7 +13,8 @@
 
 namespace stepledge::request {
 
-/// None if the step failed, or if a column is missing or not a number.
+/// None if the step failed, did not return one row, or lacks a role or a number
+/// for term, log_term, durable or applied.
 std::optional<routing::Observation>
 readObservation(const upstream::StepResult &step);
 
--- a/src/request/internal/ObserveFlow.cpp
+++ b/src/request/internal/ObserveFlow.cpp
@@ -13,7 +13,7 @@
 
 /// Poll interval while answers wait for a majority or a primary is replaced.
 constexpr Duration FastPollInterval = milliseconds(2);
-/// Interval of attempts to open a monitoring connection.
+/// How soon to check again whether a monitoring connection may be opened.
 constexpr Duration OpenRetryInterval = milliseconds(50);
 
 } // namespace
--- a/src/request/internal/ReadFlow.cpp
+++ b/src/request/internal/ReadFlow.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Delay before the same read tries an instance again whose proof failed.
+/// Delay before the same read tries an instance again that was tried without
+/// success.
 constexpr Duration TriedInstanceDelay = milliseconds(10);
 
 /// Index of each step in a read's batch.
--- a/src/request/internal/SqlGuard.h
+++ b/src/request/internal/SqlGuard.h
@@ -12,7 +12,8 @@
 
 namespace stepledge::request {
 
-/// Whether \p sql begins with a keyword that callers may not use.
+/// Whether \p sql begins with a keyword that callers may not use, without a
+/// word, or with a nested or unended comment.
 bool isForbidden(std::string_view sql);
 
 } // namespace stepledge::request
--- a/src/request/internal/TransactionFlow.h
+++ b/src/request/internal/TransactionFlow.h
@@ -29,9 +29,11 @@
             TimePoint now);
   /// Handles the loss of a pinned connection that ran nothing.
   void lostPinned(ConnectionId connection, TimePoint now);
-  /// Handles the deadline of a request that was sent or waits for a slot.
+  /// Handles the deadline of a request that was sent or waits for a slot, and a
+  /// request that the queue refuses.
   void expire(ActiveRequest &request, TimePoint now);
-  /// Rolls back transactions that have been idle or open for too long.
+  /// Rolls back transactions that have been idle or open for too long, unless
+  /// they are committing.
   void abortExpired(TimePoint now);
   std::optional<TimePoint> nextExpiry() const;
   std::size_t openCount() const { return Table.size(); }
--- a/src/request/internal/WriteFlow.h
+++ b/src/request/internal/WriteFlow.h
@@ -22,8 +22,8 @@
 public:
   explicit WriteFlow(DatabaseContext &context) : Context(context) {}
 
-  /// Refuses a request whose key belongs to a write that is still running here.
-  /// Returns whether the request may be queued.
+  /// Refuses a request whose key belongs to a write that is not yet answered
+  /// here. Returns whether the request may be queued.
   bool accept(ActiveRequest &request, TimePoint now);
   /// Returns whether the request has left the queue.
   bool start(ActiveRequest &request, TimePoint now);
@@ -34,15 +34,18 @@
   /// Handles the deadline of a request that has been sent.
   void expire(ActiveRequest &request, TimePoint now);
 
-  /// Sends \p answer once a majority holds \p mark.
+  /// Adds \p mark to the marks of \p answer and sends it once a majority holds
+  /// \p mark; at once in mode Primary.
   void awaitMajority(ActiveRequest &request, Mark mark, CallerAnswer answer,
                      TimePoint now);
-  /// Answers the writes that a majority holds or that are permanently lost.
+  /// Answers the writes that a majority holds. One whose mark is discarded is
+  /// refused, or awaits a probe if it has a key.
   void resolveAwaiting(TimePoint now);
   bool isAwaitingMajority() const;
 
-  /// The primary that may run a write of \p request now. If there is none, the
-  /// wait is noted in the record of \p request.
+  /// The primary that may run a write of \p request now; none also if it is
+  /// leaving and begins no such work, or older than the session's marks.
+  /// Without one, the wait is noted in the record of \p request.
   std::optional<InstanceId> usablePrimary(ActiveRequest &request,
                                           TimePoint now);
 
--- a/src/request/types/CallerRequest.h
+++ b/src/request/types/CallerRequest.h
@@ -32,7 +32,8 @@
 
 struct WriteCall {
   Statement Command;
-  /// Idempotency key; a write with an empty key is never resent.
+  /// Idempotency key; a write with an empty key is not resent once it may have
+  /// run.
   std::string Key;
 };
 
--- a/src/routing/GroupView.h
+++ b/src/routing/GroupView.h
@@ -32,7 +32,8 @@
   TimePoint PromiseObservedAt;
   /// How far the applied data of the instance is behind the primary, smoothed.
   Duration Lag{0};
-  /// Set by an operator or the platform: the instance gets no new work.
+  /// Set by an operator or the platform: the instance is to get no new work; a
+  /// primary still gets some for LeaveGrace.
   bool Leaving = false;
   /// Since when Leaving has been set here or reported by the instance.
   std::optional<TimePoint> LeavingSince;
@@ -63,7 +64,7 @@
   /// The instance last observed as primary of the highest term, unless a
   /// majority has promised a higher one.
   std::optional<InstanceId> primary() const;
-  /// The highest term among the last log entries of the observed instances.
+  /// The highest term of a last log entry that was observed so far.
   Term term() const { return CurrentTerm; }
 
   /// The latest time at which a majority was observed to have promised \p term
@@ -71,13 +72,15 @@
   std::optional<TimePoint> confirmedAt(Term term) const;
 
   /// An upper bound of the age of reads at \p applied; nullopt if the primary
-  /// was not observed that far back, or if \p applied is on a lost branch.
+  /// was not observed that far back, no majority confirms the current term, or
+  /// \p applied is on a lost branch or its history is unproved.
   std::optional<Duration> ageOf(Mark applied, TimePoint now) const;
 
   /// When the primary was first observed to include \p mark.
   std::optional<TimePoint> reachedAt(Mark mark) const;
 
-  /// The number of instances of the current term whose logs include \p mark.
+  /// The number of instances that promised the current term, whose log ends in
+  /// it, and whose durable log includes \p mark.
   int holderCount(Mark mark) const;
   int majority() const { return static_cast<int>(States.size()) / 2 + 1; }
   /// Whether \p mark survives the loss of any minority.
--- a/src/routing/ReadRouter.h
+++ b/src/routing/ReadRouter.h
@@ -17,7 +17,8 @@
 struct RouterSettings {
   /// An instance that has not answered for this long is not chosen.
   Duration Silence = milliseconds(600);
-  /// Maximum age of a majority's confirmation of the primary.
+  /// Maximum age of a majority's confirmation of the primary, for reads of
+  /// current data.
   Duration PrimaryConfirm = milliseconds(1000);
   /// How long a leaving primary still serves reads.
   Duration LeaveGrace = milliseconds(1500);
@@ -42,6 +43,9 @@
 public:
   explicit ReadRouter(RouterSettings settings) : Config(settings) {}
 
+  /// Prefers replicas, and waits up to CatchUp for one even if the primary
+  /// could answer. Takes the cheaper of two random ones; ejected ones only if
+  /// nothing else is eligible.
   RouteDecision choose(const ReadNeed &need, const GroupView &view,
                        const Loads &loads, TimePoint now, Random &random) const;
 
--- a/src/routing/types/RouteDecision.h
+++ b/src/routing/types/RouteDecision.h
@@ -26,7 +26,7 @@
   /// 0 requires the primary's current data.
   Duration MaxAge{0};
   TimePoint Deadline;
-  /// Instances that already failed the proof for this read.
+  /// Instances that were tried for this read without success.
   std::set<InstanceId> Tried;
 
   bool isCurrent() const { return MaxAge.count() == 0; }
@@ -79,7 +79,8 @@
   InstanceId Instance;
   Verdict InstanceVerdict = Verdict::Silent;
   std::optional<Duration> Age;
-  /// Expected time to the answer; set only for eligible instances.
+  /// Expected time to the answer, raised for poor health; set for instances
+  /// that meet the need, even if busy or ejected.
   Duration Cost{0};
 };
 
@@ -101,7 +102,8 @@
   ResultCode Why = ResultCode::NoInstanceFreshEnough;
 };
 
-/// No instance will ever be eligible.
+/// No instance is eligible, and the log of one has lost something that the
+/// session saw.
 struct RefuseRead {
   ResultCode Why = ResultCode::HistoryLost;
 };
--- a/src/session/TermHistory.h
+++ b/src/session/TermHistory.h
@@ -22,7 +22,7 @@
   Behind,
   /// It will never be included: a replacement discarded it.
   Lost,
-  /// The starts of some terms in between are unknown.
+  /// The start of one of the two terms is unknown.
   Unproved,
 };
 
@@ -30,7 +30,7 @@
 public:
   /// Records that \p term began after \p start, the last position of the
   /// previous term. Must be called for all terms of one instance's log, without
-  /// a gap.
+  /// a gap. Beyond 1024 terms, the lowest is dropped.
   void addTerm(Term term, LogPosition start);
 
   /// Removes all terms, for when another log proves to be the newest.
--- a/src/settings/types/SettingsFault.h
+++ b/src/settings/types/SettingsFault.h
@@ -12,7 +12,8 @@
 namespace stepledge::settings {
 
 struct SettingsFault {
-  /// From 1; 0 if the fault is that something is missing from the file.
+  /// From 1; a missing key has the line of its table. 0 if the file can't be
+  /// read.
   std::uint32_t Line = 0;
   std::string Text;
 };
