--- a/src/request/internal/TransactionFlow.cpp
+++ b/src/request/internal/TransactionFlow.cpp
@@ -94,9 +94,9 @@
     return false;
   if (const auto *statement = std::get_if<StatementCall>(&call)) {
     request.CurrentPhase = Phase::InTransaction;
-    Context.send(request.Connection, work,
-                 {{statement->Change.Sql, statement->Change.Parameters, true}},
-                 now);
+    Context.send(
+        request.Connection, work,
+        {{statement->Command.Sql, statement->Command.Parameters, true}}, now);
     return true;
   }
   const auto &observe = Context.Common.Dialect.Observe;
